--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -193,19 +193,19 @@
     async fn ask(&self, ask: Ask, progress: Option<&Progress>) -> Told {
         let question = self.link.put(ask);
         let Some(progress) = progress else { return question.answer().await };
-        progress.relay();
+        progress.relay_started();
         let id = question.id();
         let answer = question.answer();
         tokio::pin!(answer);
         let told = tokio::select! {
             biased;
             it = &mut answer => it,
-            () = progress.left() => {
+            () = progress.disconnected() => {
                 self.link.cancel(id);
                 answer.await
             }
         };
-        progress.relayed(told.may_have_run());
+        progress.relay_finished(told.may_have_run());
         told
     }
 
@@ -379,7 +379,7 @@
 ) -> Result<Answer, RunError> {
     // A connection that is being prepared is of use only when that has ended.
     if let Some(progress) = it.progress {
-        progress.send();
+        progress.set_sent();
     }
     if let Some(values) = it.values
         && !align(inst, lease, values, it.named).await
--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -265,7 +265,7 @@
             match put.await {
                 Ok(it) => {
                     if is_new && has_others {
-                        inst.limit.set_new();
+                        inst.quotas.set_joining();
                     }
                     self.revision = Some(it);
                     self.written = Some(Instant::now());
--- a/crates/engine/src/group/listing.rs
+++ b/crates/engine/src/group/listing.rs
@@ -3,10 +3,10 @@
 use {
     super::Group,
     crate::{
-        ask::ask_forever,
         count::Count,
         instance::{Instance, Micros, micros},
         model::{Role, Server},
+        order::poll_status,
         settings::CHANGE_MOST,
         upstream::Upstream,
     },
@@ -27,7 +27,7 @@
         it.missing.set(None);
         if it.gone.replace(false) {
             // Its task has ended.
-            tokio::task::spawn_local(ask_forever(inst.clone(), self.clone(), it.clone()));
+            tokio::task::spawn_local(poll_status(inst.clone(), self.clone(), it.clone()));
         }
         it.draining.set(server.draining.then(|| it.draining.get().unwrap_or(inst.now())));
         *it.entry.borrow_mut() = Rc::new(server);
@@ -99,7 +99,7 @@
         self.fresh.borrow_mut().grow(index + 1);
         self.gate.borrow_mut().grow(index + 1);
         self.greet(inst, &it);
-        tokio::task::spawn_local(ask_forever(inst.clone(), self.clone(), it));
+        tokio::task::spawn_local(poll_status(inst.clone(), self.clone(), it));
     }
 
     /// Asks a server that is new here, if this instance is one of its homes. Others ask once they have callers for
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -8,11 +8,11 @@
         handout::Handout,
         leaders::Leaders,
         lease::Tenure,
-        limit::Limit,
         message::Member,
         model::{Desired, Server},
         peer::Peer,
         ports::{Collection, Edge},
+        quota::Quotas,
         settings::{Bounds, MOST_TENTHS, SHARED_TENTHS, SUBSTITUTE_CONNS, Settings},
         spread::Spread,
         unreadable::Unreadable,
@@ -136,7 +136,7 @@
     /// Who led each group, as the store says.
     pub leaders: Leaders,
     /// What organisations may use.
-    pub limit: Limit,
+    pub quotas: Quotas,
     lines: Cell<(Micros, u32)>,
 }
 
@@ -170,7 +170,7 @@
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(rand::rng().random())),
             tenure: Tenure::default(),
             leaders: Leaders::default(),
-            limit: Limit::new(rand::rng().random(), clock.now()),
+            quotas: Quotas::new(rand::rng().random(), clock.now()),
             lines: Cell::default(),
         })
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -8,7 +8,7 @@
 //! | --- | --- |
 //! | [`model`] | statements, answers, configuration |
 //! | [`organisation`] | organisations, their keys and quotas |
-//! | [`limit`] | operations within the quotas of organisations |
+//! | [`quota`] | operations within the quotas of organisations |
 //! | [`ports`] | what an edge brings |
 //! | [`settings`] | timeouts, limits and weights |
 //! | [`instance`] | what the parts of an instance share |
@@ -16,7 +16,7 @@
 //! | [`spread`] | the same for instances that don't watch the store |
 //! | [`document`], [`handout`], [`fetch`] | what instances hand each other of them |
 //! | [`group`], [`upstream`] | a group and the evidence about it, its servers |
-//! | [`ask`] | questions and orders to servers |
+//! | [`order`] | questions and orders to servers |
 //! | [`conn`], [`pool`], [`turnstile`] | connections to servers, and turns at them |
 //! | [`dispatch`] | turns at a server that has too much to do, from one instance for all |
 //! | [`channel`] | a way to a server: a connection, or another instance |
@@ -29,7 +29,6 @@
 //! | [`unreadable`] | objects of the store that can't be read |
 //! | [`count`], [`report`] | counters and histograms, and a line that shows them |
 
-pub mod ask;
 pub mod channel;
 pub mod conn;
 pub mod count;
@@ -42,15 +41,16 @@
 pub mod instance;
 pub mod leaders;
 pub mod lease;
-pub mod limit;
 pub mod link;
 pub mod message;
 pub mod model;
+pub mod order;
 pub mod organisation;
 pub mod peer;
 pub mod pool;
 pub mod ports;
 pub mod progress;
+pub mod quota;
 pub mod read;
 pub mod relay;
 pub mod report;
--- a/crates/engine/src/ask.rs
+++ b/crates/engine/src/order.rs
@@ -17,7 +17,7 @@
 };
 
 /// Asks a server whenever it is wanted; questions that come while one is out share the next.
-pub async fn ask_forever(inst: Rc<Instance>, group: Rc<Group>, it: Rc<Upstream>) {
+pub async fn poll_status(inst: Rc<Instance>, group: Rc<Group>, it: Rc<Upstream>) {
     loop {
         it.nudge.notified().await;
         if it.is_gone() {
@@ -28,7 +28,7 @@
         if sightings::learn(&inst, &group, &it, since).await {
             continue;
         }
-        let asked = give(&inst, &group, &it, &Order::Status).await;
+        let asked = send_order(&inst, &group, &it, &Order::Status).await;
         if asked.is_none() {
             // So that a server that can't be reached isn't asked without end.
             sleep(PRIMARY_PAUSE).await;
@@ -38,7 +38,7 @@
 
 /// Gives a server an order that it answers with its account of itself: over a connection of this instance,
 /// through another instance, or both.
-pub async fn give(inst: &Rc<Instance>, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
+pub async fn send_order(inst: &Rc<Instance>, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
     inst.place(it);
     if !it.is_reachable() {
         it.probe(inst, group);
@@ -46,7 +46,7 @@
     }
     // Whoever gave up on an earlier question didn't take this away.
     it.sent.set(None);
-    let direct = give_direct(inst, group, it, order);
+    let direct = send_direct(inst, group, it, order);
     tokio::pin!(direct);
     if let Ok(answer) = timeout(RELAY_AFTER, &mut direct).await {
         return match answer {
@@ -95,7 +95,7 @@
 
 /// The same over a connection of this instance. Where a kept one gives no answer, a new one is tried: open
 /// connections can fall silent for good while new ones work.
-pub async fn give_direct(inst: &Instance, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
+pub async fn send_direct(inst: &Instance, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
     match exchange(inst, group, it, order).await {
         Err(Unanswered::Kept) => exchange(inst, group, it, order).await.ok(),
         outcome => outcome.ok(),
--- a/crates/engine/src/progress.rs
+++ b/crates/engine/src/progress.rs
@@ -21,47 +21,47 @@
 
 impl Progress {
     /// A server may have it from now on.
-    pub fn send(&self) {
+    pub fn set_sent(&self) {
         self.sent.set(true);
     }
 
     /// Another instance may have sent it from now on.
-    pub fn relay(&self) {
+    pub fn relay_started(&self) {
         self.relayed.set(self.relayed.get() + 1);
     }
 
     /// Another instance has answered.
-    pub fn relayed(&self, sent: bool) {
+    pub fn relay_finished(&self, sent: bool) {
         self.relayed.set(self.relayed.get() - 1);
         match sent {
-            true => self.send(),
+            true => self.set_sent(),
             false => self.back.notify_one(),
         }
     }
 
     /// Whether it waits and no server has it.
-    pub fn is_untried(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         !self.sent.get() && self.relayed.get() == 0
     }
 
     /// Its caller has left.
-    pub fn leave(&self) {
+    pub fn disconnect(&self) {
         self.left.set(true);
         self.leave.notify_waiters();
     }
 
     /// Nobody wants its transaction.
-    pub fn drop_stream(&self) {
+    pub fn abandon_txn(&self) {
         self.dropped.set(true);
     }
 
     /// Whether nobody wants its transaction.
-    pub fn is_dropped(&self) -> bool {
+    pub fn is_txn_abandoned(&self) -> bool {
         self.dropped.get()
     }
 
     /// Waits until its caller has left.
-    pub async fn left(&self) {
+    pub async fn disconnected(&self) {
         let leave = self.leave.notified();
         if !self.left.get() {
             leave.await;
@@ -69,9 +69,9 @@
     }
 
     /// Waits until its caller has left and no server has it. What a server has is left to end.
-    pub async fn given_up(&self) {
-        self.left().await;
-        while !self.is_untried() {
+    pub async fn cancelled(&self) {
+        self.disconnected().await;
+        while !self.is_unsent() {
             self.back.notified().await;
         }
     }
--- a/crates/engine/src/limit.rs
+++ b/crates/engine/src/quota.rs
@@ -74,7 +74,7 @@
 }
 
 /// The limits of organisations, as one instance keeps them.
-pub struct Limit {
+pub struct Quotas {
     lender: RefCell<Lender>,
     limiter: RefCell<Limiter>,
     /// The limiter of each slot; none before the others were counted.
@@ -102,10 +102,10 @@
     seq: Cell<u64>,
 }
 
-impl Limit {
+impl Quotas {
     /// Nothing is known yet; `process` tells the processes apart that an instance runs as.
-    pub fn new(process: u64, now: Micros) -> Limit {
-        Limit {
+    pub fn new(process: u64, now: Micros) -> Quotas {
+        Quotas {
             lender: RefCell::new(Lender::new(now)),
             limiter: RefCell::new(Limiter::new(process)),
             limiters: RefCell::default(),
@@ -124,7 +124,7 @@
     }
 
     /// This instance has come to others that don't know it yet.
-    pub fn set_new(&self) {
+    pub fn set_joining(&self) {
         self.new.set(true);
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Answers another instance that has operations to run.
-    pub fn claimed(&self, inst: &Instance, claims: &[Claim]) -> Told {
+    pub fn handle_claims(&self, inst: &Instance, claims: &[Claim]) -> Told {
         let now = inst.now();
         let mut limiter = self.limiter.borrow_mut();
         let grant = |it: &Claim| match limits(inst, &it.organisation) {
--- a/crates/engine/src/limit/claims.rs
+++ b/crates/engine/src/quota/claims.rs
@@ -1,7 +1,7 @@
 //! Operations that wait for a limiter's word.
 
 use {
-    super::{LIMIT, Limit, UNPLACED},
+    super::{LIMIT, Quotas, UNPLACED},
     crate::{
         count::Count,
         instance::Instance,
@@ -20,7 +20,7 @@
     word: oneshot::Sender<Grant>,
 }
 
-impl Limit {
+impl Quotas {
     /// Asks a limiter for an operation, together with others that come meanwhile.
     pub(super) async fn ask(
         &self,
@@ -66,7 +66,7 @@
 
 /// Asks a limiter for operations as long as any wait for it.
 async fn ask_all(inst: Rc<Instance>, limiter: Name) {
-    let limit = &inst.limit;
+    let limit = &inst.quotas;
     while let Some(mut waiting) = limit.take_queue(&limiter) {
         // Whoever has stopped waiting needs no token.
         waiting.retain(|it| !it.word.is_closed());
--- a/crates/engine/src/limit/lending.rs
+++ b/crates/engine/src/quota/lending.rs
@@ -1,7 +1,7 @@
 //! Shares of limits: which instance is the limiter of which slot, and what is lent to it.
 
 use {
-    super::{Limit, note},
+    super::{Quotas, note},
     crate::{
         count::Count,
         instance::{Instance, Micros, micros},
@@ -30,9 +30,9 @@
 /// written again within this time.
 const LONELY: Duration = Duration::from_millis(4_000);
 
-impl Limit {
+impl Quotas {
     /// Answers another instance that lends its shares.
-    pub fn lent(&self, inst: &Instance, it: &Lending) -> Told {
+    pub fn handle_loan(&self, inst: &Instance, it: &Lending) -> Told {
         let now = inst.now();
         let leaving = inst.leaving().is_some();
         if it.from != inst.settings.name {
@@ -145,7 +145,7 @@
     }
 
     /// How long until the next messages to limiters.
-    pub fn pause(&self, inst: &Instance) -> Duration {
+    pub fn next_delay(&self, inst: &Instance) -> Duration {
         if inst.desired().is_some_and(|it| it.organisations.is_none()) {
             return Duration::from_micros(PERIOD);
         }
@@ -185,16 +185,16 @@
 /// Lends this instance's shares to limiters, for good.
 pub async fn run(inst: Rc<Instance>) {
     loop {
-        sleep(inst.limit.pause(&inst)).await;
+        sleep(inst.quotas.next_delay(&inst)).await;
         let limited = inst.desired().is_some_and(|it| it.organisations.is_some());
         if !limited {
             continue;
         }
-        inst.limit.place(&inst);
-        inst.limit.limiter.borrow_mut().trim(inst.now());
-        inst.limit.refusals.borrow_mut().trim(inst.now());
+        inst.quotas.place(&inst);
+        inst.quotas.limiter.borrow_mut().trim(inst.now());
+        inst.quotas.refusals.borrow_mut().trim(inst.now());
         lend_here(&inst);
-        for name in inst.limit.audience(&inst) {
+        for name in inst.quotas.audience(&inst) {
             tokio::task::spawn_local(lend(inst.clone(), name));
         }
     }
@@ -202,11 +202,11 @@
 
 /// This instance is a limiter, for itself too.
 fn lend_here(inst: &Instance) {
-    let limit = &inst.limit;
+    let limit = &inst.quotas;
     let me = &inst.settings.name;
     for _ in 0..2 {
         let lending = limit.lending(inst, me);
-        let Told::Lent { answer, stamp, .. } = limit.lent(inst, &lending) else { return };
+        let Told::Lent { answer, stamp, .. } = limit.handle_loan(inst, &lending) else { return };
         if !limit.took(me, lending.slots, answer, stamp, inst.now()) {
             return;
         }
@@ -215,7 +215,7 @@
 
 /// Lends shares to another instance, or takes them back.
 async fn lend(inst: Rc<Instance>, to: Name) {
-    let limit = &inst.limit;
+    let limit = &inst.quotas;
     for _ in 0..2 {
         let Some(peer) = inst.peer(&to) else { break };
         let lending = limit.lending(&inst, &to);
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -2,7 +2,6 @@
 
 use {
     crate::{
-        ask::give_direct,
         channel::{Channel, Direct, NoWay, Sending, What},
         count::Count,
         dispatch::{TURN_MOST, count_lifted, tell_homes},
@@ -12,6 +11,7 @@
         link::{Halves, Reader, STREAM_SILENCE, halves},
         message::{Ask, Message, Run, Sent, ServerRun, Told, TurnWish},
         model::{Order, Status, TxnState},
+        order::send_direct,
         organisation::Owner,
         pool::Want,
         ports::{Forward, Text},
@@ -142,7 +142,7 @@
         tokio::select! {
             biased;
             // First, as one that was cancelled at once needn't begin.
-            () = progress.given_up() => {
+            () = progress.cancelled() => {
                 self.inst.counters.one(Count::Cancelled);
                 self.tell(id, Told::Refused);
             }
@@ -159,7 +159,7 @@
     /// Nobody waits for an answer.
     fn cancel(&self, id: u64) {
         if let Some(it) = self.asked.borrow().iter().find(|it| it.id == id) {
-            it.progress.leave();
+            it.progress.disconnect();
         }
     }
 
@@ -167,15 +167,15 @@
     fn drop_stream(&self, stream: u64) {
         drop(self.take_stream(stream));
         for it in self.asked.borrow().iter().filter(|it| it.stream == Some(stream)) {
-            it.progress.drop_stream();
+            it.progress.abandon_txn();
         }
     }
 
     /// The link has ended: nobody waits for its answers, or wants its transactions.
     fn give_up(&self) {
         for it in &*self.asked.borrow() {
-            it.progress.drop_stream();
-            it.progress.leave();
+            it.progress.abandon_txn();
+            it.progress.disconnect();
         }
     }
 
@@ -185,8 +185,8 @@
             Ask::Run(it) => self.run(*it, progress).await,
             Ask::Turn(it) => return self.grant(id, it, progress).await,
             Ask::Fetch(it) => handout::answer(inst, it).await,
-            Ask::Lend(it) => inst.limit.lent(inst, &it),
-            Ask::Claim(it) => inst.limit.claimed(inst, &it),
+            Ask::Lend(it) => inst.quotas.handle_loan(inst, &it),
+            Ask::Claim(it) => inst.quotas.handle_claims(inst, &it),
             Ask::State { group, wanted } => Told::State(sightings::tell(inst, &group, &wanted).await),
             Ask::Order { server, order } => order_server(inst, &server, &order).await,
         };
@@ -216,7 +216,7 @@
             Turn::Granted(mut permit) => {
                 // Whether its statement runs isn't known here.
                 permit.run();
-                progress.send();
+                progress.set_sent();
                 self.forget(id);
                 // A link that has closed meanwhile needs no turn.
                 if self.tell(id, Told::Turn { turn: id, crowded: up.shared.is_crowded() }) {
@@ -292,7 +292,7 @@
         match answer.txn {
             TxnState::Idle => channel.give_back(),
             // One that was given up meanwhile is rolled back, as are those of a link that has closed.
-            TxnState::Open | TxnState::Failed if !self.out.is_closed() && !progress.is_dropped() => {
+            TxnState::Open | TxnState::Failed if !self.out.is_closed() && !progress.is_txn_abandoned() => {
                 channel.pin();
                 self.put_stream(it.stream, channel);
             }
@@ -359,7 +359,7 @@
     }
     let status = match order {
         Order::Status => shared_status(inst, &group, &up).await,
-        _ => give_direct(inst, &group, &up, order).await,
+        _ => send_direct(inst, &group, &up, order).await,
     };
     match status {
         None if up.refused().is_some() => Told::Gone,
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -215,15 +215,15 @@
         tokio::select! {
             biased;
             it = &mut answer => return Some(it),
-            () = self.left() => progress.leave(),
+            () = self.left() => progress.disconnect(),
         }
         let answer = tokio::select! {
             biased;
             it = &mut answer => Some(it),
-            () = progress.given_up() => None,
+            () = progress.cancelled() => None,
         };
         // Another instance that gave it up has it refused.
-        if progress.is_untried() {
+        if progress.is_unsent() {
             self.inst.counters.one(Count::LeftWaiting);
         }
         answer
@@ -376,7 +376,7 @@
         if self.txn.is_open() {
             return work.in_transaction(self, access).await;
         }
-        if let Err(it) = self.inst.limit.admit(&work).await {
+        if let Err(it) = self.inst.quotas.admit(&work).await {
             return over_limit(it);
         }
         match access {
@@ -394,7 +394,7 @@
                     Ok(it) => it,
                     Err(answer) => return answer,
                 };
-                if let Err(it) = self.inst.limit.admit(&work).await {
+                if let Err(it) = self.inst.quotas.admit(&work).await {
                     return over_limit(it);
                 }
                 work.begin(self, *access).await
@@ -421,7 +421,7 @@
 
     /// Rolls its transaction back for the caller. One that only reads yet is answered, as the server may have the order.
     pub async fn roll_back(&mut self) -> Answer {
-        self.progress.send();
+        self.progress.set_sent();
         self.txn.rollback().await
     }
 
--- a/crates/engine/src/takeover.rs
+++ b/crates/engine/src/takeover.rs
@@ -10,10 +10,10 @@
 use {
     self::change::Change,
     crate::{
-        ask::give,
         group::Group,
         instance::{Instance, Micros, micros},
         model::{Order, Role, Status},
+        order::send_order,
         upstream::Upstream,
     },
     pondtrack_proto::{Lsn, Name},
@@ -224,7 +224,7 @@
         };
         log::info!(group = group.name.as_str(), server = it.entry().id.as_str(); "left over from a change: {order:?}");
         let (inst, group) = (inst.clone(), group.clone());
-        tokio::task::spawn_local(async move { give(&inst, &group, &it, &order).await });
+        tokio::task::spawn_local(async move { send_order(&inst, &group, &it, &order).await });
     }
 }
 
--- a/crates/engine/src/takeover/change.rs
+++ b/crates/engine/src/takeover/change.rs
@@ -3,11 +3,11 @@
 use {
     super::{Begin, Cause, Failed},
     crate::{
-        ask::give,
         count::Count,
         group::Group,
         instance::Instance,
         model::{Order, Role, Status},
+        order::send_order,
         ports::PromoteError,
         upstream::Upstream,
     },
@@ -110,7 +110,7 @@
     }
 
     async fn give(&self, it: &Upstream, order: Order) -> Option<Status> {
-        give(self.inst, self.group, it, &order).await
+        send_order(self.inst, self.group, it, &order).await
     }
 
     /// The primary, where this instance never heard it: the only server without an answer, if it is proved that it leads.
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        ask::give_direct,
         channel::{Relayed, RunError},
         group::Group,
         instance::{Clock, Instance, Micros, micros},
         model::{Answer, Code, Order, Server, Status},
+        order::send_direct,
         organisation::Owner,
         peer::Peer,
         pool::Pool,
@@ -480,7 +480,7 @@
             let Some(group) = inst.group(&group) else { return };
             let known = group.servers().into_iter().find(|it| it.index == index);
             if let Some(it) = known
-                && give_direct(&inst, &group, &it, &Order::Status).await.is_some()
+                && send_direct(&inst, &group, &it, &Order::Status).await.is_some()
             {
                 log::info!(server = it.entry().id.as_str(); "reached again");
             }
--- a/crates/pondtrackd/src/hosted.rs
+++ b/crates/pondtrackd/src/hosted.rs
@@ -7,9 +7,9 @@
     pondtrack_engine::{
         feed,
         instance::Instance,
-        lease, limit,
+        lease,
         ports::{Collection, Edge},
-        relay, report, session, settings, spread, takeover,
+        quota, relay, report, session, settings, spread, takeover,
     },
     pondtrack_platform::{
         Boot, Lines, ObjectStore, Orders,
@@ -131,7 +131,7 @@
     tokio::task::spawn_local(feed::sweep(inst.clone()));
     tokio::task::spawn_local(spread::run(inst.clone()));
     tokio::task::spawn_local(spread::join(inst.clone(), boot.seeds.clone()));
-    tokio::task::spawn_local(limit::run(inst.clone()));
+    tokio::task::spawn_local(quota::run(inst.clone()));
     tokio::task::spawn_local(report::run(inst.clone()));
     tokio::task::spawn_local(takeover::watch(inst.clone()));
     let lease = tokio::task::spawn_local(lease::keep(inst.clone()));
