--- a/crates/core/benches/ratios.rs
+++ b/crates/core/benches/ratios.rs
@@ -6,7 +6,7 @@
         gate::Gate,
         member::{MemberConfig, Members},
         place,
-        quota::{Demand, Limiter, Limits, SLOTS, Slots},
+        quota::{Demand, Limiter, Limits, SLOTS, SlotSet},
     },
     pondtrack_proto::{GroupSpec, Lsn, Mark, MemberState, MemberView, Name, ServerSpec, Term},
     std::{hint::black_box, process::ExitCode, time::Instant},
@@ -124,11 +124,11 @@
     const ASKED: usize = 2_000;
     let now = 1_000_000;
     let mut it = Limiter::new(1);
-    let since = Some(it.stamp(now));
-    let mut slots = Slots::default();
+    let since = Some(it.timestamp(now));
+    let mut slots = SlotSet::default();
     (0..SLOTS).for_each(|slot| slots.insert(slot));
     for n in 0..instances {
-        it.lent(&Name::from(format!("n{n}")), 1, slots, 1.0 / instances as f64, since, now);
+        it.accept(&Name::from(format!("n{n}")), 1, slots, 1.0 / instances as f64, since, now);
     }
     let names: Vec<Name> = (0..organisations).map(|n| Name::from(format!("organisation{n}"))).collect();
     let limits = Limits { rate: 1e9, burst: 1e9, margin: 0.0 };
@@ -136,7 +136,12 @@
     for _ in 0..ROUNDS {
         let from = Instant::now();
         for n in 0..ASKED {
-            black_box(it.claim(&names[n * 7 % organisations], limits, Demand::plain(1), now + n as u64));
+            black_box(it.claim(
+                &names[n * 7 % organisations],
+                limits,
+                Demand::unprioritised(1),
+                now + n as u64,
+            ));
         }
         best = best.min(from.elapsed().as_secs_f64() / ASKED as f64);
     }
--- a/crates/core/src/journal.rs
+++ b/crates/core/src/decision_log.rs
@@ -10,11 +10,11 @@
 
 /// The decisions of one instance, oldest first.
 #[derive(Clone, Debug, Default)]
-pub struct Journal {
+pub struct DecisionLog {
     list: VecDeque<Decision>,
 }
 
-impl Journal {
+impl DecisionLog {
     /// Records a decision; the oldest is dropped when there are too many.
     pub fn record(&mut self, it: Decision) {
         if self.list.len() >= KEPT {
@@ -24,7 +24,7 @@
     }
 
     /// The decisions about a subject, or all, oldest first.
-    pub fn about(&self, subject: Option<&Name>) -> Vec<Decision> {
+    pub fn by_subject(&self, subject: Option<&Name>) -> Vec<Decision> {
         let wanted = |it: &&Decision| subject.is_none_or(|name| it.subject == *name);
         self.list.iter().filter(wanted).cloned().collect()
     }
--- a/crates/core/src/delta.rs
+++ b/crates/core/src/delta.rs
@@ -11,7 +11,7 @@
 const KEYS_MOST: usize = 4_000;
 
 /// How an item is named within its collection.
-pub type Key<T> = fn(&T) -> &Name;
+pub type KeyFn<T> = fn(&T) -> &Name;
 
 /// The difference between two versions of a sorted collection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,29 +19,30 @@
     /// Items that are new or have changed, sorted by key.
     pub items: Vec<T>,
     /// Keys of items that are gone, sorted.
-    pub gone: Vec<Name>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<Name>,
 }
 
 impl<T: Clone> Delta<T> {
     /// The difference from nothing.
-    pub fn whole(items: &[T]) -> Delta<T> {
-        Delta { items: items.to_vec(), gone: Vec::new() }
+    pub fn full(items: &[T]) -> Delta<T> {
+        Delta { items: items.to_vec(), removed: Vec::new() }
     }
 
     /// What has become of these keys, which are sorted.
-    pub fn of_keys(keys: Vec<Name>, items: &[T], key: Key<T>) -> Delta<T> {
-        let mut it = Delta { items: Vec::new(), gone: Vec::new() };
+    pub fn from_keys(keys: Vec<Name>, items: &[T], key: KeyFn<T>) -> Delta<T> {
+        let mut it = Delta { items: Vec::new(), removed: Vec::new() };
         for name in keys {
             match items.binary_search_by(|it| key(it).cmp(&name)) {
                 Ok(at) => it.items.push(items[at].clone()),
-                Err(_) => it.gone.push(name),
+                Err(_) => it.removed.push(name),
             }
         }
         it
     }
 
     /// The collection after the change, sorted by key.
-    pub fn apply(self, old: &[T], key: Key<T>) -> Vec<T> {
+    pub fn apply(self, old: &[T], key: KeyFn<T>) -> Vec<T> {
         let mut out = Vec::with_capacity(old.len() + self.items.len());
         let mut new = self.items.into_iter().peekable();
         for it in old {
@@ -50,7 +51,7 @@
             }
             match new.next_if(|item| key(item) == key(it)) {
                 Some(item) => out.push(item),
-                None if self.gone.binary_search(key(it)).is_ok() => {}
+                None if self.removed.binary_search(key(it)).is_ok() => {}
                 None => out.push(it.clone()),
             }
         }
@@ -60,7 +61,7 @@
 }
 
 /// Keys of the items that differ between two sorted collections, sorted.
-pub fn touched<T: PartialEq>(old: &[T], new: &[T], key: Key<T>) -> Vec<Name> {
+pub fn changed_keys<T: PartialEq>(old: &[T], new: &[T], key: KeyFn<T>) -> Vec<Name> {
     let mut keys = Vec::new();
     let (mut old, mut new) = (old.iter().peekable(), new.iter().peekable());
     loop {
@@ -89,7 +90,7 @@
 
 impl ChangeLog {
     /// A version has touched these keys, which are sorted. The first one counts as a beginning, whatever it touched.
-    pub fn note(&mut self, version: u64, keys: Vec<Name>) {
+    pub fn record(&mut self, version: u64, keys: Vec<Name>) {
         if self.base.is_none() {
             self.base = Some(version);
             return;
@@ -101,7 +102,7 @@
     }
 
     /// Keys touched after a version, sorted; none where the log doesn't reach back as far.
-    pub fn since(&self, version: u64) -> Option<Vec<Name>> {
+    pub fn changed_since(&self, version: u64) -> Option<Vec<Name>> {
         if self.base.is_none_or(|it| it > version) {
             return None;
         }
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/gossip.rs
@@ -20,7 +20,7 @@
 /// How peers for a push are chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum Choice {
+pub enum PeerSelection {
     /// Any members with the same chance.
     #[default]
     Uniform,
@@ -31,18 +31,18 @@
 
 /// The facts of one instance.
 #[derive(Clone, Debug)]
-pub struct Spread {
+pub struct FactStore {
     facts: Vec<Fact>,
     buckets: [u64; BUCKETS],
 }
 
-impl Default for Spread {
-    fn default() -> Spread {
-        Spread { facts: Vec::new(), buckets: [0; BUCKETS] }
+impl Default for FactStore {
+    fn default() -> FactStore {
+        FactStore { facts: Vec::new(), buckets: [0; BUCKETS] }
     }
 }
 
-impl Spread {
+impl FactStore {
     /// All facts, sorted by key.
     pub fn facts(&self) -> &[Fact] {
         &self.facts
@@ -115,7 +115,7 @@
     }
 
     /// Answers a list of versions: what is newer here, and a wish for what is newer there.
-    pub fn versions(&self, keys: &[(FactKey, u64)], buckets: &[u8]) -> Vec<Payload> {
+    pub fn diff(&self, keys: &[(FactKey, u64)], buckets: &[u8]) -> Vec<Payload> {
         let mut theirs = keys.to_vec();
         theirs.sort();
         let known = |key: &FactKey| theirs.binary_search_by(|it| it.0.cmp(key)).map_or(0, |at| theirs[at].1);
@@ -129,7 +129,7 @@
     }
 
     /// Answers a wish.
-    pub fn wanted(&self, keys: &[FactKey]) -> Vec<Payload> {
+    pub fn fetch(&self, keys: &[FactKey]) -> Vec<Payload> {
         pack(keys.iter().filter_map(|it| self.get(it)).cloned().collect())
     }
 
@@ -159,15 +159,15 @@
 }
 
 /// Chooses the peers for a push among members other than oneself.
-pub fn peers<'a>(
-    choice: Choice,
+pub fn select_peers<'a>(
+    choice: PeerSelection,
     me: &str,
     members: &[&'a MemberView],
     rng: &mut impl Rng,
 ) -> Vec<&'a MemberView> {
     match choice {
-        Choice::Uniform => sample(members.to_vec(), FANOUT, rng),
-        Choice::Groups => {
+        PeerSelection::Uniform => sample(members.to_vec(), FANOUT, rng),
+        PeerSelection::Groups => {
             let groups = (members.len() as f64 + 1.0).sqrt().round().max(1.0) as u64;
             let group = |name: &str| crate::place::weight("group", name) % groups;
             let mine = group(me);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -38,11 +38,11 @@
 //! | [`retry_after`] | when callers that were refused may come back |
 //! | [`member`] | probes, suspicion, incarnations |
 //! | [`delta`] | what changed in a collection since a version |
-//! | [`spread`] | versioned facts, pushes and digests |
+//! | [`gossip`] | versioned facts, pushes and digests |
 //! | [`plan`] | from an intent to steps |
 //!
 //! What they share: [`chart`] (state charts read from files), [`life`] (those of sessions and connections),
-//! [`timer`], [`journal`].
+//! [`timer`], [`decision_log`].
 
 pub mod admit;
 pub mod balance;
@@ -52,12 +52,13 @@
 pub mod chart;
 pub mod claim;
 pub mod classify;
+pub mod decision_log;
 pub mod delta;
 pub mod detect;
 pub mod fresh;
 pub mod gate;
+pub mod gossip;
 pub mod grant;
-pub mod journal;
 pub mod leader;
 pub mod lease;
 pub mod life;
@@ -70,7 +71,6 @@
 pub mod retry;
 pub mod retry_after;
 pub mod route;
-pub mod spread;
 pub mod switch;
 pub mod timer;
 pub mod token;
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -9,7 +9,7 @@
     crate::{
         Time,
         chart::Chart,
-        spread::{self, Choice, Spread},
+        gossip::{self, FactStore, PeerSelection},
     },
     pondtrack_proto::{Datagram, Fact, MemberState, MemberView, Name, Payload},
     rand::{RngExt, SeedableRng, seq::SliceRandom},
@@ -36,7 +36,7 @@
     /// Least time between two requests for the whole list of members.
     pub refresh: u64,
     /// How peers for a push are chosen.
-    pub choice: Choice,
+    pub choice: PeerSelection,
 }
 
 impl Default for MemberConfig {
@@ -49,7 +49,7 @@
             suspicion: 2_000,
             revive: 5_000,
             refresh: 10_000,
-            choice: Choice::Uniform,
+            choice: PeerSelection::Uniform,
         }
     }
 }
@@ -161,7 +161,7 @@
     /// The instance itself.
     pub me: MemberView,
     /// Its facts.
-    pub spread: Spread,
+    pub spread: FactStore,
     config: MemberConfig,
     list: Vec<MemberView>,
     suspects: Vec<(Name, Time)>,
@@ -184,7 +184,7 @@
     pub fn new(me: MemberView, seeds: Vec<SocketAddr>, config: MemberConfig, seed: u64) -> Members {
         Members {
             me,
-            spread: Spread::default(),
+            spread: FactStore::default(),
             config,
             list: Vec::new(),
             suspects: Vec::new(),
@@ -330,12 +330,12 @@
                 }
             }
             Payload::Versions { keys, buckets } => {
-                for it in self.spread.versions(&keys, &buckets) {
+                for it in self.spread.diff(&keys, &buckets) {
                     self.send(addr, it, &mut out);
                 }
             }
             Payload::Want { keys } => {
-                for it in self.spread.wanted(&keys) {
+                for it in self.spread.fetch(&keys) {
                     self.send(addr, it, &mut out);
                 }
             }
@@ -580,9 +580,9 @@
     fn push(&mut self, facts: &[Fact], except: Option<&Name>, out: &mut Output) {
         let open: Vec<&MemberView> =
             self.list.iter().filter(|it| it.state != MemberState::Dead && Some(&it.name) != except).collect();
-        let chosen = spread::peers(self.config.choice, &self.me.name, &open, &mut self.rng);
+        let chosen = gossip::select_peers(self.config.choice, &self.me.name, &open, &mut self.rng);
         let to: Vec<SocketAddr> = chosen.into_iter().map(|it| it.addr).collect();
-        for payload in spread::pack(facts.to_vec()) {
+        for payload in gossip::pack(facts.to_vec()) {
             for addr in &to {
                 self.send(*addr, payload.clone(), out);
             }
@@ -592,7 +592,7 @@
     /// Sends the news to a few peers at once, rather than with the next probe.
     fn push_news(&mut self, out: &mut Output) {
         let open: Vec<&MemberView> = self.list.iter().filter(|it| it.state != MemberState::Dead).collect();
-        let chosen = spread::peers(self.config.choice, &self.me.name, &open, &mut self.rng);
+        let chosen = gossip::select_peers(self.config.choice, &self.me.name, &open, &mut self.rng);
         let to: Vec<SocketAddr> = chosen.into_iter().map(|it| it.addr).collect();
         for addr in to {
             self.send(addr, Payload::Members, out);
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -10,34 +10,36 @@
 //! | --- | --- |
 //! | [`Lender`] | where the shares of an instance are |
 //! | [`Limiter`] | what was lent to an instance, and the buckets that it fills |
-//! | [`Pacing`] | when an instance speaks to which limiter, and for how long it lends |
+//! | [`RenewalScheduler`] | when an instance speaks to which limiter, and for how long it lends |
 //! | [`Demand`] | what is claimed, and how urgent it is |
-//! | [`Places`] | when those may come back that were refused |
+//! | [`RetrySchedule`] | when those may come back that were refused |
 //!
 //! Where more is claimed than comes in, tokens are kept for more urgent operations, and a part for the least urgent ones.
 //! That only refuses, and changes nothing of what a bucket holds.
 //!
 //! What must hold, in any window: tokens granted by all limiters together stay within the rate times the window, the
-//! burst, [`Limits::margin`], and the tokens that come in within [`HOLD`]. Each start of a limiter's process in the
+//! burst, [`Limits::margin`], and the tokens that come in within [`MAX_DELAY`]. Each start of a limiter's process in the
 //! window adds the margin once more, and each start of a lender's the tokens of its share within a term of its earlier
 //! process, which may have been longer than the new one's, if that was with another than the usual limiter.
 //!
-//! The term is [`TERM`], and longer in a large fleet. The lender names it in each message and counts it from the time it
+//! The term is [`MIN_LOAN_DURATION`], and longer in a large fleet. The lender names it in each message and counts it from the time it
 //! sends that, the limiter from the earlier moment that it told: the limiter's is over first, whatever the term. A
 //! lender's terms never fall, so that none of its messages can lend for longer than a later one.
 
 mod grant;
 mod lender;
 mod limiter;
-mod pacing;
+mod renewal;
 mod reserve;
 mod urgency;
 
 pub use self::{
-    grant::{Grant, LONGEST, Places},
+    grant::{Grant, MAX_RETRY_AFTER, RetrySchedule},
     lender::Lender,
-    limiter::{Limiter, Offer, Reply},
-    pacing::{ANSWERS, LONGEST_TERM, PATIENCE, PERIOD, Pacing},
+    limiter::{Limiter, Offer, OfferReply},
+    renewal::{
+        MAX_LOAN_DURATION, MAX_MESSAGE_RATE, MIN_RENEWAL_INTERVAL, MIN_REPLY_TIMEOUT, RenewalScheduler,
+    },
     urgency::{Demand, Urgency},
 };
 
@@ -47,15 +49,15 @@
 };
 
 /// Organisations are dealt to so many slots, each with a limiter of its own. An instance speaks to as many others in each
-/// period of its [`Pacing`], whatever the fleet's size.
+/// period of its [`RenewalScheduler`], whatever the fleet's size.
 pub const SLOTS: usize = 8;
 
 /// How long a share is lent at least, in microseconds. A limiter that is lost takes its shares with it for as long.
-pub const TERM: u64 = 1_500_000;
+pub const MIN_LOAN_DURATION: u64 = 1_500_000;
 
 /// A token may be granted this long before it comes in, in microseconds: its caller waits meanwhile, in order, in place
 /// of asking again.
-pub const HOLD: u64 = 60_000;
+pub const MAX_DELAY: u64 = 60_000;
 
 /// Microseconds in a second.
 const SECOND: f64 = 1e6;
@@ -67,9 +69,9 @@
 
 /// A set of slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Slots(u8);
+pub struct SlotSet(u8);
 
-impl Slots {
+impl SlotSet {
     /// Adds a slot.
     pub fn insert(&mut self, slot: usize) {
         self.0 |= 1 << slot;
@@ -99,7 +101,7 @@
 
 /// A moment on a limiter's clock, which it alone can read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct Timestamp {
     /// Tells apart the processes that an instance has run as.
     pub process: u64,
     /// Microseconds of that process's monotonic clock.
--- a/crates/core/src/quota/grant.rs
+++ b/crates/core/src/quota/grant.rs
@@ -6,7 +6,7 @@
 };
 
 /// No caller is told a later time than this, in microseconds: an hour.
-pub const LONGEST: u64 = 3_600_000_000;
+pub const MAX_RETRY_AFTER: u64 = 3_600_000_000;
 
 /// The outcome of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -18,10 +18,10 @@
         /// The pause.
         after: u64,
         /// When the others may come back.
-        rest: Places,
+        rest: RetrySchedule,
     },
     /// None.
-    Refused(Places),
+    Refused(RetrySchedule),
 }
 
 impl Grant {
@@ -37,7 +37,7 @@
 
 /// When those who were refused together may come back. Times are microseconds from now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Places {
+pub struct RetrySchedule {
     /// There is room for the first one then.
     pub after: u64,
     /// Between two of them.
@@ -46,21 +46,21 @@
     pub reserved: bool,
 }
 
-impl Places {
+impl RetrySchedule {
     /// The same time for all.
-    pub const fn at(after: u64) -> Places {
-        Places { after, step: 0, reserved: false }
+    pub const fn at(after: u64) -> RetrySchedule {
+        RetrySchedule { after, step: 0, reserved: false }
     }
 
     /// The same for those after the first ones.
-    pub fn skip(self, n: u32) -> Places {
-        let after = self.after.saturating_add(self.step.saturating_mul(n.into())).min(LONGEST);
-        Places { after, ..self }
+    pub fn skip(self, n: u32) -> RetrySchedule {
+        let after = self.after.saturating_add(self.step.saturating_mul(n.into())).min(MAX_RETRY_AFTER);
+        RetrySchedule { after, ..self }
     }
 
     /// What one of them is told that has some time left, or any.
-    pub fn nth(self, n: u32, left: Option<u64>) -> RetryAfter {
-        let Places { after, .. } = self.skip(n);
+    pub fn retry_after(self, n: u32, left: Option<u64>) -> RetryAfter {
+        let RetrySchedule { after, .. } = self.skip(n);
         match left {
             Some(left) if after > left => RetryAfter::TooLate { after },
             _ => RetryAfter::Room { after },
--- a/crates/core/src/quota/lender.rs
+++ b/crates/core/src/quota/lender.rs
@@ -1,7 +1,7 @@
 //! Where the shares of an instance are.
 
 use {
-    super::{LONGEST_TERM, Reply, SLOTS, Slots, TERM},
+    super::{MAX_LOAN_DURATION, MIN_LOAN_DURATION, OfferReply, SLOTS, SlotSet},
     pondtrack_proto::Name,
 };
 
@@ -27,12 +27,12 @@
 impl Lender {
     /// An instance that has just started. Another process of it may have lent its shares until a moment ago.
     pub fn new(now: u64) -> Lender {
-        Lender { places: std::array::from_fn(|_| Place::Unknown { since: now }), term: TERM }
+        Lender { places: std::array::from_fn(|_| Place::Unknown { since: now }), term: MIN_LOAN_DURATION }
     }
 
-    /// The term of the loans that follow, which their messages name: at least so long, up to [`LONGEST_TERM`].
-    pub fn set_term(&mut self, least: u64) -> u64 {
-        self.term = self.term.max(least.min(LONGEST_TERM));
+    /// The term of the loans that follow, which their messages name: at least so long, up to [`MAX_LOAN_DURATION`].
+    pub fn raise_duration(&mut self, least: u64) -> u64 {
+        self.term = self.term.max(least.min(MAX_LOAN_DURATION));
         self.term
     }
 
@@ -63,7 +63,7 @@
 
     /// The instances that may use a share, other than the ones that the slots are meant for, and have to be told that
     /// they may not any longer.
-    pub fn misplaced(&self, meant: &[Name; SLOTS], now: u64) -> Vec<Name> {
+    pub fn stale_holders(&self, meant: &[Name; SLOTS], now: u64) -> Vec<Name> {
         let mut out: Vec<Name> = Vec::new();
         for (place, meant) in self.places.iter().zip(meant) {
             match place {
@@ -77,7 +77,7 @@
     }
 
     /// When shares that others may use can be lent to the instances that they are meant for.
-    pub fn frees(&self, meant: &[Name; SLOTS], now: u64) -> Vec<(Name, u64)> {
+    pub fn release_times(&self, meant: &[Name; SLOTS], now: u64) -> Vec<(Name, u64)> {
         let free = |(place, meant): (&Place, &Name)| match place {
             Place::Lent { to, until } if to != meant => Some((meant.clone(), *until)),
             Place::Unknown { since } => Some((meant.clone(), since + self.term)),
@@ -89,16 +89,16 @@
 
     /// An instance has answered an offer. Hands back the slots whose shares came back: none where it ignored the
     /// offer, as one that is still under way may count after all.
-    pub fn answered(&mut self, from: &Name, answer: Reply) -> Slots {
+    pub fn apply_reply(&mut self, from: &Name, answer: OfferReply) -> SlotSet {
         match answer.is_ignored {
-            true => Slots::default(),
-            false => self.returned(from, answer.used),
+            true => SlotSet::default(),
+            false => self.release_except(from, answer.used),
         }
     }
 
     /// An instance has said that it uses the shares of these slots alone. Hands back those that came back.
-    pub fn returned(&mut self, from: &Name, kept: Slots) -> Slots {
-        let mut back = Slots::default();
+    pub fn release_except(&mut self, from: &Name, kept: SlotSet) -> SlotSet {
+        let mut back = SlotSet::default();
         for (slot, place) in self.places.iter_mut().enumerate() {
             match place {
                 Place::Lent { to, .. } if to == from && !kept.contains(slot) => {
--- a/crates/core/src/quota/limiter.rs
+++ b/crates/core/src/quota/limiter.rs
@@ -2,7 +2,8 @@
 
 use {
     super::{
-        Demand, Grant, HOLD, LONGEST_TERM, Limits, Places, SECOND, SLOTS, Slots, Stamp, TERM,
+        Demand, Grant, Limits, MAX_DELAY, MAX_LOAN_DURATION, MIN_LOAN_DURATION, RetrySchedule, SECOND, SLOTS,
+        SlotSet, Timestamp,
         reserve::{Reserve, Supply},
         slot,
     },
@@ -17,20 +18,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
     /// The slots.
-    pub slots: Slots,
+    pub slots: SlotSet,
     /// The part of each limit.
     pub share: f64,
     /// The moment that it was told before, from which the term counts.
-    pub since: Option<Stamp>,
+    pub since: Option<Timestamp>,
     /// The term.
-    pub term: u64,
+    pub duration: u64,
 }
 
 /// What a limiter answers to an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct OfferReply {
     /// The slots whose shares of the lender are used.
-    pub used: Slots,
+    pub used: SlotSet,
     /// Whether the offer was ignored, as a newer message seems to have come before. The newer one may
     /// be an earlier process's, after whose time messages of the lender count again.
     pub is_ignored: bool,
@@ -117,32 +118,32 @@
     }
 
     /// The present moment, for a lender to hand back.
-    pub fn stamp(&self, now: u64) -> Stamp {
-        Stamp { process: self.process, at: now }
+    pub fn timestamp(&self, now: u64) -> Timestamp {
+        Timestamp { process: self.process, at: now }
     }
 
     /// An instance lends its share of these slots, and of no others, for a term from a moment that it was told before.
     /// Hands back the slots whose shares are used now.
-    pub fn lent(
+    pub fn accept(
         &mut self,
         lender: &Name,
         seq: u64,
-        slots: Slots,
+        slots: SlotSet,
         share: f64,
-        since: Option<Stamp>,
+        since: Option<Timestamp>,
         now: u64,
-    ) -> Slots {
-        self.offered(lender, seq, Offer { slots, share, since, term: TERM }, now).used
+    ) -> SlotSet {
+        self.accept_offer(lender, seq, Offer { slots, share, since, duration: MIN_LOAN_DURATION }, now).used
     }
 
     /// The same for a term that the lender names, and counts by itself.
-    pub fn offered(&mut self, lender: &Name, seq: u64, offer: Offer, now: u64) -> Reply {
+    pub fn accept_offer(&mut self, lender: &Name, seq: u64, offer: Offer, now: u64) -> OfferReply {
         let Offer { slots, share, since, .. } = offer;
-        let term = offer.term.min(LONGEST_TERM);
+        let term = offer.duration.min(MAX_LOAN_DURATION);
         let known = since.filter(|it| it.process == self.process && it.at <= now);
         let until = known.map_or(0, |it| it.at.saturating_add(term));
         let is_new = self.hear(lender, seq, now.saturating_add(term), now);
-        let mut used = Slots::default();
+        let mut used = SlotSet::default();
         for (n, slot) in self.slots.iter_mut().enumerate() {
             slot.advance(now);
             if is_new {
@@ -153,7 +154,7 @@
                 used.insert(n);
             }
         }
-        Reply { used, is_ignored: !is_new }
+        OfferReply { used, is_ignored: !is_new }
     }
 
     /// Takes in that a message has come, before which none can lend after a time; says whether none after it has.
@@ -180,7 +181,7 @@
     }
 
     /// Forgets buckets that nobody has asked for a long time, and messages that no older one can follow.
-    pub fn trim(&mut self, now: u64) {
+    pub fn evict_idle(&mut self, now: u64) {
         self.heard.retain(|it| it.until > now);
         for it in &mut self.slots {
             it.buckets.retain(|bucket| now.saturating_sub(bucket.used) < IDLE);
@@ -243,7 +244,7 @@
         it.limits = limits;
         it.fill(filled, sum);
         it.used = now;
-        let ahead = rate * HOLD as f64 / SECOND;
+        let ahead = rate * MAX_DELAY as f64 / SECOND;
         let most = it.most(sum);
         let urgency = demand.urgency.filter(|_| rate > 0.0);
         let supply = Supply { stock: it.level + ahead, most: most + ahead, rate, now };
@@ -253,18 +254,19 @@
         };
         it.level -= f64::from(granted);
         // What has no share at all has no rate either: such callers are told to come back after a term.
-        let pause = |tokens: f64| if rate > 0.0 { (tokens / rate * SECOND).ceil() as u64 } else { TERM };
+        let pause =
+            |tokens: f64| if rate > 0.0 { (tokens / rate * SECOND).ceil() as u64 } else { MIN_LOAN_DURATION };
         let after = if it.level < 0.0 { pause(-it.level) } else { 0 };
         let refused = demand.count.saturating_sub(granted);
         let rest = match urgency {
             Some(urgency) if refused > 0 => {
                 let left = Supply { stock: it.level + ahead, ..supply };
                 let row = it.reserve.place(refused, urgency, &left);
-                Places { after: row.after, step: row.step, reserved: left.stock >= 1.0 }
+                RetrySchedule { after: row.after, step: row.step, reserved: left.stock >= 1.0 }
             }
-            Some(_) => Places::at(0),
-            None if granted == 0 => Places::at(pause(1.0 - ahead - it.level)),
-            None => Places::at(after),
+            Some(_) => RetrySchedule::at(0),
+            None if granted == 0 => RetrySchedule::at(pause(1.0 - ahead - it.level)),
+            None => RetrySchedule::at(after),
         };
         if granted == 0 { Grant::Refused(rest) } else { Grant::Granted { count: granted, after, rest } }
     }
--- a/crates/core/src/quota/pacing.rs
+++ b/crates/core/src/quota/renewal.rs
@@ -1,26 +1,26 @@
 //! When an instance speaks to which limiter.
 //!
 //! A limiter has a message of every instance in each period. It may be one of the smallest instances of a large fleet, so
-//! the period, and with it the term of loans, grows with the number of instances as soon as [`ANSWERS`] calls for it. The
+//! the period, and with it the term of loans, grows with the number of instances as soon as [`MAX_MESSAGE_RATE`] calls for it. The
 //! first messages, after a start or to a limiter that is new in its place, are spread over the same time by the place of the
 //! instance among all; a limiter without an answer is asked again after a pause that doubles.
 
 use {
-    super::{SLOTS, TERM},
+    super::{MIN_LOAN_DURATION, SLOTS},
     pondtrack_proto::Name,
 };
 
 /// Messages a second that come to a limiter at most: what an instance with a tenth of a core answers in about half of its
 /// time, while shares are placed; afterwards it has half as many, and the rest is its callers'.
-pub const ANSWERS: u64 = 1_200;
+pub const MAX_MESSAGE_RATE: u64 = 1_200;
 /// The part of them that is dealt to the instances; the rest is for messages that are repeated.
 const DEALT: u64 = 1_000;
 /// Messages until a share is placed: one to learn the limiter's moment, one that lends.
 const FIRST: u64 = 2;
 /// The shortest time between two messages to a limiter, in microseconds: a loan outlasts two that are lost.
-pub const PERIOD: u64 = 400_000;
+pub const MIN_RENEWAL_INTERVAL: u64 = 400_000;
 /// The shortest time for a limiter's answer, in microseconds: a crossing of zones and a busy instance.
-pub const PATIENCE: u64 = 150_000;
+pub const MIN_REPLY_TIMEOUT: u64 = 150_000;
 /// The longest pause after the first miss, in microseconds.
 const RETRY: u64 = 50_000;
 /// The longest pause of all, in microseconds.
@@ -37,7 +37,7 @@
 /// once, and some room. Others may tell any number.
 const FLEET: u64 = 1_600;
 /// The longest term of a loan, in microseconds: that of the largest fleet. Others may name any.
-pub const LONGEST_TERM: u64 = TERM + OUTLASTS * (span(FLEET) - PERIOD);
+pub const MAX_LOAN_DURATION: u64 = MIN_LOAN_DURATION + OUTLASTS * (span(FLEET) - MIN_RENEWAL_INTERVAL);
 
 /// What is known of a limiter.
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
 /// The messages of one instance to limiters. Times are microseconds of its monotonic clock, which begins with its
 /// process.
 #[derive(Clone, Debug, Default)]
-pub struct Pacing {
+pub struct RenewalScheduler {
     /// How many instances come before this one in the order of all.
     place: u64,
     instances: u64,
@@ -71,7 +71,7 @@
     instances * FIRST * 1_000_000 / DEALT
 }
 
-impl Pacing {
+impl RenewalScheduler {
     /// Takes in how many instances there are, and how many of them come before this one in an order that is the same on
     /// all.
     pub fn set_fleet(&mut self, place: usize, instances: usize) {
@@ -85,25 +85,25 @@
     }
 
     /// Between two messages to a limiter.
-    pub fn period(&self) -> u64 {
-        self.span().max(PERIOD)
+    pub fn interval(&self) -> u64 {
+        self.span().max(MIN_RENEWAL_INTERVAL)
     }
 
     /// How long shares have to be lent.
-    pub fn term(&self) -> u64 {
-        TERM + OUTLASTS * (self.period() - PERIOD)
+    pub fn loan_duration(&self) -> u64 {
+        MIN_LOAN_DURATION + OUTLASTS * (self.interval() - MIN_RENEWAL_INTERVAL)
     }
 
     /// How long a limiter's answer may take: one that all ask at once answers the last after the time for all.
-    pub fn patience(&self) -> u64 {
-        self.span().max(PATIENCE)
+    pub fn timeout(&self) -> u64 {
+        self.span().max(MIN_REPLY_TIMEOUT)
     }
 
     /// The limiters that are told something now, of these that there are, sorted. They owe an answer from now on.
-    pub fn due(&mut self, audience: &[Name], now: u64) -> Vec<Name> {
+    pub fn take_due(&mut self, audience: &[Name], now: u64) -> Vec<Name> {
         self.lanes.retain(|it| it.is_asked || audience.binary_search(&it.name).is_ok());
         let first = now + self.turn();
-        let period = self.period();
+        let period = self.interval();
         for name in audience {
             if let Err(at) = self.find(name) {
                 let name = name.clone();
@@ -126,8 +126,8 @@
         out
     }
 
-    /// Slots are meant for other limiters than before: those are told, all instances in turn.
-    pub fn moved(&mut self, old: &[Name; SLOTS], new: &[Name; SLOTS], now: u64) {
+    /// SlotSet are meant for other limiters than before: those are told, all instances in turn.
+    pub fn reassigned(&mut self, old: &[Name; SLOTS], new: &[Name; SLOTS], now: u64) {
         let at = now + self.turn();
         for (name, _) in old.iter().zip(new).filter(|it| it.0 != it.1) {
             self.with(name, |it| it.due = if it.is_lost { it.due } else { it.due.min(at) });
@@ -140,18 +140,18 @@
     }
 
     /// How long until a limiter is told something; none where there is nobody to be told.
-    pub fn next(&self, now: u64) -> Option<u64> {
+    pub fn next_delay(&self, now: u64) -> Option<u64> {
         let due = self.lanes.iter().filter(|it| !it.is_asked).map(|it| it.due).min()?;
         Some(due.saturating_sub(now))
     }
 
     /// A limiter is told something at this time, if not sooner: a share can be lent to it then.
-    pub fn hurry(&mut self, name: &Name, at: u64) {
+    pub fn schedule_by(&mut self, name: &Name, at: u64) {
         self.with(name, |it| it.due = it.due.min(at));
     }
 
     /// A limiter has answered, and serves; says whether it was lost before.
-    pub fn answered(&mut self, name: &Name, now: u64) -> bool {
+    pub fn record_reply(&mut self, name: &Name, now: u64) -> bool {
         let mut was_lost = false;
         self.with(name, |it| {
             it.misses = 0;
@@ -161,8 +161,8 @@
         was_lost
     }
 
-    /// A limiter couldn't be reached, leaves, or has had [`Pacing::patience`] for its answer; `random` is any number.
-    pub fn missed(&mut self, name: &Name, random: u64, now: u64) {
+    /// A limiter couldn't be reached, leaves, or has had [`RenewalScheduler::timeout`] for its answer; `random` is any number.
+    pub fn record_failure(&mut self, name: &Name, random: u64, now: u64) {
         // All come within this time to one that serves again.
         let (most, least) = match now < EARLY {
             true => (RETRY_EARLY, self.span()),
@@ -178,16 +178,16 @@
 
     /// A limiter has not answered in time for a caller. It may be slow, and is lost only if nothing was heard of it for
     /// longer.
-    pub fn doubted(&mut self, name: &Name, random: u64, now: u64) {
-        let patience = self.patience();
+    pub fn record_timeout(&mut self, name: &Name, random: u64, now: u64) {
+        let patience = self.timeout();
         let heard = self.find(name).ok().map(|at| self.lanes[at].heard);
         if heard.is_some_and(|it| now.saturating_sub(it) >= patience) {
-            self.missed(name, random, now);
+            self.record_failure(name, random, now);
         }
     }
 
     /// A limiter owes no answer any longer.
-    pub fn ended(&mut self, name: &Name) {
+    pub fn complete(&mut self, name: &Name) {
         self.with(name, |it| it.is_asked = false);
     }
 
--- a/crates/core/src/quota/reserve.rs
+++ b/crates/core/src/quota/reserve.rs
@@ -4,7 +4,7 @@
 //! A reserve only refuses: what is granted is taken from the bucket's level, which alone says how much there is.
 
 use {
-    super::{LONGEST, SECOND, Urgency},
+    super::{MAX_RETRY_AFTER, SECOND, Urgency},
     std::collections::VecDeque,
 };
 
@@ -36,7 +36,7 @@
 const SLACK: f64 = 1.25;
 /// Tokens that stand ready for each place, for the same reason.
 const SPARE: f64 = 3.0;
-/// Places that are remembered for a kind: those of a second of the largest organisations.
+/// RetrySchedule that are remembered for a kind: those of a second of the largest organisations.
 const PLACES: usize = 1_024;
 
 /// What a bucket has, at a time.
@@ -65,7 +65,7 @@
 
     /// How long some tokens take to come in at a part of the rate.
     fn time(&self, tokens: f64, part: f64) -> u64 {
-        ((tokens / (self.rate * part) * SECOND).ceil() as u64).min(LONGEST)
+        ((tokens / (self.rate * part) * SECOND).ceil() as u64).min(MAX_RETRY_AFTER)
     }
 }
 
@@ -177,7 +177,7 @@
         let mut next = first.max(kind.last + step);
         let row = Row { after: next - it.now, step };
         for _ in 0..refused {
-            if next > it.now.saturating_add(urgency.left) || kind.places.len() == PLACES {
+            if next > it.now.saturating_add(urgency.remaining) || kind.places.len() == PLACES {
                 break;
             }
             kind.places.push_back(next);
--- a/crates/core/src/quota/urgency.rs
+++ b/crates/core/src/quota/urgency.rs
@@ -8,7 +8,8 @@
     /// The route's rank; 0 goes first.
     pub priority: u8,
     /// For how much longer a grant helps the caller, in microseconds from the moment that the claim was sent.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub remaining: u64,
 }
 
 /// Operations of an organisation that want to run.
@@ -22,12 +23,12 @@
 
 impl Demand {
     /// Operations that aren't told apart from others.
-    pub fn plain(count: u32) -> Demand {
+    pub fn unprioritised(count: u32) -> Demand {
         Demand { count, urgency: None }
     }
 
     /// Operations of one urgency.
-    pub fn of(count: u32, priority: u8, left: u64) -> Demand {
-        Demand { count, urgency: Some(Urgency { priority, left }) }
+    pub fn prioritised(count: u32, priority: u8, remaining: u64) -> Demand {
+        Demand { count, urgency: Some(Urgency { priority, remaining }) }
     }
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -12,25 +12,25 @@
 
 /// A budget of retries.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     /// In successes.
     saved: u32,
 }
 
-impl Default for Budget {
-    fn default() -> Budget {
-        Budget { saved: MOST * PRICE }
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget { saved: MOST * PRICE }
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// A request succeeded.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.saved = (self.saved + 1).min(MOST * PRICE);
     }
 
     /// Takes one retry if there is one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let has = self.saved >= PRICE;
         if has {
             self.saved -= PRICE;
@@ -54,7 +54,7 @@
     }
 
     /// The next wait, in milliseconds.
-    pub fn next(&mut self, rng: &mut impl rand::Rng) -> u64 {
+    pub fn next_delay(&mut self, rng: &mut impl rand::Rng) -> u64 {
         let top = self.base.saturating_mul(1 << self.step.min(16)).min(self.cap).max(1);
         self.step += 1;
         rng.random_range(top / 2..=top)
--- a/crates/core/src/retry_after.rs
+++ b/crates/core/src/retry_after.rs
@@ -6,7 +6,7 @@
 //! Times are microseconds.
 
 use {
-    crate::quota::{LONGEST, Places, Urgency},
+    crate::quota::{MAX_RETRY_AFTER, RetrySchedule, Urgency},
     pondtrack_proto::Name,
     serde::{Deserialize, Serialize},
 };
@@ -17,7 +17,7 @@
 const MOST: u64 = 200_000;
 /// How late a caller may be at its place and is still known by it: its way back, and a busy instance.
 const LATENESS: u64 = 50_000;
-/// Places that are remembered for an organisation's operations of one priority.
+/// RetrySchedule that are remembered for an organisation's operations of one priority.
 const PLACES: usize = 256;
 
 /// What a refused caller is told.
@@ -37,7 +37,7 @@
 
 impl RetryAfter {
     /// The pause, in either case.
-    pub fn after(self) -> u64 {
+    pub fn delay(self) -> u64 {
         match self {
             RetryAfter::Room { after } | RetryAfter::TooLate { after } => after,
         }
@@ -82,15 +82,15 @@
 
 /// What an instance knows of refusals, so that it can answer by itself: callers who don't listen cost others nothing.
 #[derive(Clone, Debug, Default)]
-pub struct Refusals {
+pub struct RefusalCache {
     /// Sorted by organisation and priority.
     list: Vec<Refusal>,
 }
 
-impl Refusals {
+impl RefusalCache {
     /// What a caller is told without a question to the limiter; none if that has to be asked. A caller who comes when a
     /// place is due may be the one who was told so, and is asked for.
-    pub fn known(&mut self, organisation: &Name, urgency: Option<Urgency>, now: u64) -> Option<RetryAfter> {
+    pub fn lookup(&mut self, organisation: &Name, urgency: Option<Urgency>, now: u64) -> Option<RetryAfter> {
         let at = self.find(organisation, urgency).ok()?;
         let it = &mut self.list[at];
         if it.is_over(now) {
@@ -106,16 +106,16 @@
         }
         match urgency {
             None => Some(RetryAfter::Room { after: it.until - now }),
-            Some(urgency) => Some(it.tell(it.last.max(now) + it.step, urgency.left, now)),
+            Some(urgency) => Some(it.tell(it.last.max(now) + it.step, urgency.remaining, now)),
         }
     }
 
     /// A limiter has refused a caller; what it is told.
-    pub fn refused(
+    pub fn insert(
         &mut self,
         organisation: &Name,
         urgency: Option<Urgency>,
-        places: Places,
+        places: RetrySchedule,
         now: u64,
     ) -> RetryAfter {
         let priority = urgency.map(|it| it.priority);
@@ -128,12 +128,12 @@
         });
         let it = &mut self.list[at];
         it.until = until;
-        it.step = places.step.min(LONGEST);
+        it.step = places.step.min(MAX_RETRY_AFTER);
         match urgency {
             None => RetryAfter::Room { after: places.after },
             Some(urgency) => {
                 let place = now + places.skip(0).after;
-                let told = it.tell(place, urgency.left, now);
+                let told = it.tell(place, urgency.remaining, now);
                 // A place that its caller can't wait for is the next one's, who is told none before it.
                 it.last = it.last.max(place.saturating_sub(it.step));
                 told
@@ -142,7 +142,7 @@
     }
 
     /// Forgets refusals that are over.
-    pub fn trim(&mut self, now: u64) {
+    pub fn evict_expired(&mut self, now: u64) {
         self.list.retain_mut(|it| !it.is_over(now));
     }
 
--- a/crates/core/src/timer.rs
+++ b/crates/core/src/timer.rs
@@ -19,23 +19,23 @@
 impl<K: Clone + PartialEq> Timers<K> {
     /// Wakes a part at a time; an earlier subscription of the same part is replaced.
     pub fn set(&mut self, key: K, at: Time) {
-        self.clear(&key);
+        self.cancel(&key);
         let n = self.due.partition_point(|it| it.0 <= at);
         self.due.insert(n, (at, key));
     }
 
     /// Ends a subscription.
-    pub fn clear(&mut self, key: &K) {
+    pub fn cancel(&mut self, key: &K) {
         self.due.retain(|it| it.1 != *key);
     }
 
     /// When the next part wants to be woken.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_deadline(&self) -> Option<Time> {
         self.due.first().map(|it| it.0)
     }
 
     /// Takes the parts that are due, the earliest first.
-    pub fn take(&mut self, now: Time) -> Vec<K> {
+    pub fn take_due(&mut self, now: Time) -> Vec<K> {
         let n = self.due.partition_point(|it| it.0 <= now);
         self.due.drain(..n).map(|it| it.1).collect()
     }
--- a/crates/core/src/token.rs
+++ b/crates/core/src/token.rs
@@ -14,7 +14,7 @@
 
 /// The parts of a token.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Token {
+pub struct SessionToken {
     /// The group it is for.
     pub group: Name,
     /// What the session has seen.
@@ -28,9 +28,9 @@
 #[snafu(display("it is no token of this version: take one with SHOW pondtrack.token"))]
 pub struct TokenError;
 
-impl Token {
+impl SessionToken {
     /// The token as text.
-    pub fn render(&self) -> String {
+    pub fn encode(&self) -> String {
         let mut out = format!("pt1.{}.{}.{}", hex(self.group.as_bytes()), self.mark.term, self.mark.lsn);
         for (key, value) in &self.settings {
             out.push_str(&format!(".{}.{}", hex(key.as_bytes()), hex(value.as_bytes())));
@@ -39,7 +39,7 @@
     }
 
     /// Reads a token.
-    pub fn parse(text: &str) -> Result<Token, TokenError> {
+    pub fn parse(text: &str) -> Result<SessionToken, TokenError> {
         if text.len() > MAX_LEN {
             return Err(TokenError);
         }
@@ -57,7 +57,7 @@
         }
         let pair = |it: &[&str]| Ok((unhex(it[0])?, unhex(it[1])?));
         let settings = rest.chunks(2).map(pair).collect::<Result<_, TokenError>>()?;
-        Ok(Token { group, mark, settings })
+        Ok(SessionToken { group, mark, settings })
     }
 }
 
--- a/crates/core/tests/delta.rs
+++ b/crates/core/tests/delta.rs
@@ -1,7 +1,7 @@
 //! Differences of collections: applied to what they were made from they give what they were made for.
 
 use {
-    pondtrack_core::delta::{ChangeLog, Delta, touched},
+    pondtrack_core::delta::{ChangeLog, Delta, changed_keys},
     pondtrack_proto::Name,
     rand::{RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
@@ -29,32 +29,32 @@
 #[case(&[("a", 1), ("c", 1)], &[("b", 1), ("c", 1), ("d", 1)], &["a", "b", "d"])]
 #[case(&[("a", 1)], &[("a", 1)], &[])]
 fn keys_that_differ(#[case] old: &[(&str, u32)], #[case] new: &[(&str, u32)], #[case] expected: &[&str]) {
-    assert_eq!(touched(&items(old), &items(new), key), names(expected));
+    assert_eq!(changed_keys(&items(old), &items(new), key), names(expected));
 }
 
 #[test]
 fn a_log_knows_nothing_from_before_its_first_version() {
     let mut log = ChangeLog::default();
-    assert_eq!(log.since(0), None);
-    log.note(5, names(&["a"]));
-    log.note(9, names(&["b", "c"]));
-    log.note(13, names(&["a", "c"]));
-    assert_eq!(log.since(4), None);
-    assert_eq!(log.since(5), Some(names(&["a", "b", "c"])));
+    assert_eq!(log.changed_since(0), None);
+    log.record(5, names(&["a"]));
+    log.record(9, names(&["b", "c"]));
+    log.record(13, names(&["a", "c"]));
+    assert_eq!(log.changed_since(4), None);
+    assert_eq!(log.changed_since(5), Some(names(&["a", "b", "c"])));
     // A version between two that are known is as good as the one before it.
-    assert_eq!(log.since(10), Some(names(&["a", "c"])));
-    assert_eq!(log.since(13), Some(Vec::new()));
+    assert_eq!(log.changed_since(10), Some(names(&["a", "c"])));
+    assert_eq!(log.changed_since(13), Some(Vec::new()));
 }
 
 #[test]
 fn a_log_forgets_its_oldest_versions_first() {
     let mut log = ChangeLog::default();
-    log.note(1, Vec::new());
+    log.record(1, Vec::new());
     for version in 2..=6 {
-        log.note(version, (0..1_500).map(|n| Name::from(format!("{version}-{n:04}"))).collect());
+        log.record(version, (0..1_500).map(|n| Name::from(format!("{version}-{n:04}"))).collect());
     }
-    assert_eq!(log.since(3), None, "more keys than are kept");
-    assert_eq!(log.since(4).map(|it| it.len()), Some(3_000));
+    assert_eq!(log.changed_since(3), None, "more keys than are kept");
+    assert_eq!(log.changed_since(4).map(|it| it.len()), Some(3_000));
 }
 
 #[test]
@@ -74,15 +74,15 @@
                     new.insert(at, (name, 0));
                 }
             }
-            log.note(version, touched(&old, &new, key));
+            log.record(version, changed_keys(&old, &new, key));
             versions.push(new);
         }
         let last = versions.last().unwrap();
         for (version, old) in versions.iter().enumerate() {
-            let keys = log.since(version as u64).unwrap();
-            let delta = Delta::of_keys(keys, last, key);
+            let keys = log.changed_since(version as u64).unwrap();
+            let delta = Delta::from_keys(keys, last, key);
             assert_eq!(&delta.apply(old, key), last, "seed {seed}, from version {version}");
         }
-        assert_eq!(&Delta::whole(last).apply(&[], key), last);
+        assert_eq!(&Delta::full(last).apply(&[], key), last);
     }
 }
--- a/crates/core/tests/lending.rs
+++ b/crates/core/tests/lending.rs
@@ -5,8 +5,8 @@
     pondtrack_core::{
         place,
         quota::{
-            ANSWERS, Demand, LONGEST_TERM, Lender, Limiter, Limits, Offer, PERIOD, Pacing, SLOTS, Slots,
-            Stamp, TERM, slot,
+            Demand, Lender, Limiter, Limits, MAX_LOAN_DURATION, MAX_MESSAGE_RATE, MIN_LOAN_DURATION,
+            MIN_RENEWAL_INTERVAL, Offer, RenewalScheduler, SLOTS, SlotSet, Timestamp, slot,
         },
     },
     pondtrack_proto::Name,
@@ -68,9 +68,9 @@
     start: Option<u64>,
     lender: Lender,
     limiter: Limiter,
-    pacing: Pacing,
+    pacing: RenewalScheduler,
     limiters: Option<[Name; SLOTS]>,
-    stamps: BTreeMap<usize, Stamp>,
+    stamps: BTreeMap<usize, Timestamp>,
     seq: u64,
     /// When it has answered what has come.
     busy: u64,
@@ -126,7 +126,7 @@
             start: None,
             lender: Lender::new(0),
             limiter: Limiter::new(process),
-            pacing: Pacing::default(),
+            pacing: RenewalScheduler::default(),
             limiters: None,
             stamps: BTreeMap::new(),
             seq: 0,
@@ -174,20 +174,22 @@
                     return self.put(back, Event::Refused(id));
                 }
                 self.came[to].push(self.now);
-                let done = self.members[to].busy.max(self.now) + SECOND / ANSWERS;
+                let done = self.members[to].busy.max(self.now) + SECOND / MAX_MESSAGE_RATE;
                 self.members[to].busy = done;
                 let process = self.members[to].process;
                 self.put(done, Event::Handle { id, process });
             }
             Event::Handle { id, process } => self.handle(id, process),
-            Event::Told { id, slots, stamp, process } => self.told(id, slots, Stamp { process, at: stamp }),
+            Event::Told { id, slots, stamp, process } => {
+                self.told(id, slots, Timestamp { process, at: stamp })
+            }
             Event::Refused(id) | Event::Over(id) => {
                 let Some(it) = self.messages.remove(&id) else { return };
                 if self.is_up(it.from, it.process) {
                     let (random, now) = (self.rng.next_u64(), self.clock(it.from));
                     let to = self.members[it.to].name.clone();
-                    self.members[it.from].pacing.missed(&to, random, now);
-                    self.members[it.from].pacing.ended(&to);
+                    self.members[it.from].pacing.record_failure(&to, random, now);
+                    self.members[it.from].pacing.complete(&to);
                 }
             }
             Event::Look { .. } => {}
@@ -210,7 +212,7 @@
         let it = &mut self.members[at];
         it.pacing.set_fleet(at, n);
         if let Some(old) = it.limiters.replace(limiters.clone()) {
-            it.pacing.moved(&old, &limiters, now);
+            it.pacing.reassigned(&old, &limiters, now);
         }
     }
 
@@ -223,27 +225,27 @@
             self.lend_here(at);
         }
         let it = &mut self.members[at];
-        let mut audience = it.lender.misplaced(&limiters, now);
+        let mut audience = it.lender.stale_holders(&limiters, now);
         audience.extend(it.pacing.lost().cloned());
         audience.extend(limiters.iter().cloned());
         audience.retain(|name| *name != it.name);
         audience.sort_unstable();
         audience.dedup();
-        for (name, free) in it.lender.frees(&limiters, now) {
-            it.pacing.hurry(&name, free);
+        for (name, free) in it.lender.release_times(&limiters, now) {
+            it.pacing.schedule_by(&name, free);
         }
         if rule == Rule::AtOnce {
             it.pacing.set_fleet(0, 1);
-            audience.iter().for_each(|name| it.pacing.hurry(name, now));
+            audience.iter().for_each(|name| it.pacing.schedule_by(name, now));
         }
-        for name in it.pacing.due(&audience, now) {
+        for name in it.pacing.take_due(&audience, now) {
             let to = self.members.binary_search_by(|it| it.name.cmp(&name)).unwrap();
             self.send(at, to, true);
         }
         let it = &self.members[at];
         let most = if it.lender.is_placed(&limiters, now) { 400_000 } else { LOOK };
         let next = match rule {
-            Rule::Paced => it.pacing.next(now).unwrap_or(most).clamp(5_000, most),
+            Rule::Paced => it.pacing.next_delay(now).unwrap_or(most).clamp(5_000, most),
             Rule::AtOnce => most,
         };
         let process = it.process;
@@ -254,9 +256,9 @@
         let now = self.clock(at);
         let (seq, offer) = self.offer(at, at);
         let it = &mut self.members[at];
-        let answer = it.limiter.offered(&it.name, seq, offer, now);
-        it.lender.answered(&it.name, answer);
-        it.stamps.insert(at, it.limiter.stamp(now));
+        let answer = it.limiter.accept_offer(&it.name, seq, offer, now);
+        it.lender.apply_reply(&it.name, answer);
+        it.stamps.insert(at, it.limiter.timestamp(now));
     }
 
     fn offer(&mut self, from: usize, to: usize) -> (u64, Offer) {
@@ -264,9 +266,9 @@
         let (n, name) = (self.members.len(), self.members[to].name.clone());
         let usual: Vec<bool> = self.ranked.iter().map(|it| it[0] == to).collect();
         let it = &mut self.members[from];
-        let term = it.lender.set_term(it.pacing.term());
+        let duration = it.lender.raise_duration(it.pacing.loan_duration());
         let since = it.stamps.get(&to).copied();
-        let mut slots = Slots::default();
+        let mut slots = SlotSet::default();
         let meant = it.limiters.iter().flatten().enumerate().filter(|it| *it.1 == name);
         for (slot, _) in meant.filter(|_| since.is_some()) {
             if it.lender.lend(slot, &name, usual[slot], now) {
@@ -274,7 +276,7 @@
             }
         }
         it.seq = it.seq.max(now) + 1;
-        (it.seq, Offer { slots, share: 1.0 / n as f64, since, term })
+        (it.seq, Offer { slots, share: 1.0 / n as f64, since, duration })
     }
 
     fn send(&mut self, from: usize, to: usize, is_first: bool) {
@@ -285,7 +287,7 @@
         self.messages.insert(id, Message { from, to, process, seq, offer, is_first });
         let way = self.rng.random_range(1..WAY);
         self.put(self.now + way, Event::Arrive(id));
-        let patience = self.members[from].pacing.patience();
+        let patience = self.members[from].pacing.timeout();
         self.put(self.now + patience, Event::Over(id));
     }
 
@@ -295,36 +297,36 @@
         let (to, seq, offer) = (it.to, it.seq, it.offer);
         let (now, name) = (self.clock(to), self.members[it.from].name.clone());
         let limiter = &mut self.members[to].limiter;
-        let used = limiter.offered(&name, seq, offer, now).used;
+        let used = limiter.accept_offer(&name, seq, offer, now).used;
         let bits = (0..SLOTS).filter(|it| used.contains(*it)).fold(0, |all, it| all | 1 << it);
         let way = self.rng.random_range(1..WAY);
         self.put(self.now + way, Event::Told { id, slots: bits, stamp: now, process });
     }
 
-    fn told(&mut self, id: u64, bits: u8, stamp: Stamp) {
+    fn told(&mut self, id: u64, bits: u8, stamp: Timestamp) {
         let Some(message) = self.messages.remove(&id) else { return };
         let Message { from, to, process, offer, is_first, .. } = message;
         if !self.is_up(from, process) {
             return;
         }
         let (now, name) = (self.clock(from), self.members[to].name.clone());
-        let mut used = Slots::default();
+        let mut used = SlotSet::default();
         (0..SLOTS).filter(|it| bits & 1 << it != 0).for_each(|it| used.insert(it));
         let it = &mut self.members[from];
-        let back = it.lender.returned(&name, used);
+        let back = it.lender.release_except(&name, used);
         for (slot, meant) in it.limiters.iter().flatten().enumerate() {
             if back.contains(slot) {
-                it.pacing.hurry(meant, now);
+                it.pacing.schedule_by(meant, now);
             }
         }
         let known = it.stamps.insert(to, stamp).is_some_and(|it| it.process == stamp.process);
-        if it.pacing.answered(&name, now) {
+        if it.pacing.record_reply(&name, now) {
             self.place(from);
         }
         if is_first && (!known || used != offer.slots) {
             self.send(from, to, false);
         } else {
-            self.members[from].pacing.ended(&name);
+            self.members[from].pacing.complete(&name);
         }
     }
 
@@ -347,7 +349,7 @@
                 let now = self.clock(at);
                 let it = &mut self.members[at];
                 if it.start.is_some() {
-                    it.limiter.claim(&organisation, LIMITS, Demand::plain(1), now);
+                    it.limiter.claim(&organisation, LIMITS, Demand::unprioritised(1), now);
                     sum += it.limiter.share(&organisation);
                 }
             }
@@ -398,7 +400,7 @@
             assert_eq!(it.unplaced(), 0, "seed {seed}: a loan has ended at {}", it.now);
         }
         let most = it.most();
-        assert!(most <= ANSWERS as usize, "seed {seed}: {most} messages in a second");
+        assert!(most <= MAX_MESSAGE_RATE as usize, "seed {seed}: {most} messages in a second");
     }
 }
 
@@ -407,7 +409,7 @@
     let mut it = World::new(1, 300, Rule::AtOnce);
     it.run(PLACED);
     assert!(it.unplaced() > 0);
-    assert!(it.most() > ANSWERS as usize);
+    assert!(it.most() > MAX_MESSAGE_RATE as usize);
 }
 
 #[rstest]
@@ -424,7 +426,7 @@
         it.put(4 * SECOND, Event::Kill(lost));
         let pacing = &it.members[0].pacing;
         // The loan of whoever spoke last ends, and it learns of the loss a period later.
-        let over = 4 * SECOND + pacing.term() + 2 * pacing.period();
+        let over = 4 * SECOND + pacing.loan_duration() + 2 * pacing.interval();
         it.watch(over);
         assert_eq!(it.unplaced(), 0, "seed {seed}: not placed after the loss");
         let kept = it.used()[0];
@@ -434,7 +436,7 @@
         assert_eq!(it.unplaced(), 0, "seed {seed}: not placed after the return");
         assert!(it.members[lost].limiter.share(&organisation(0)) > 1.0 - 1.5 / n as f64);
         let most = it.most();
-        assert!(most <= ANSWERS as usize, "seed {seed}: {most} messages in a second");
+        assert!(most <= MAX_MESSAGE_RATE as usize, "seed {seed}: {most} messages in a second");
     }
 }
 
@@ -453,12 +455,12 @@
 fn a_limiter_that_is_slow_is_not_lost() {
     let limiter = Name::from("a");
     for (n, slow, lost) in [(9, 100_000, 150_000), (300, 500_000, 600_000), (760, 1_500_000, 1_520_000)] {
-        let mut it = Pacing::default();
+        let mut it = RenewalScheduler::default();
         it.set_fleet(0, n);
-        assert_eq!(it.due(std::slice::from_ref(&limiter), SECOND), std::slice::from_ref(&limiter));
-        it.doubted(&limiter, 0, SECOND + slow);
+        assert_eq!(it.take_due(std::slice::from_ref(&limiter), SECOND), std::slice::from_ref(&limiter));
+        it.record_timeout(&limiter, 0, SECOND + slow);
         assert_eq!(it.lost().count(), 0, "{n} instances");
-        it.doubted(&limiter, 0, SECOND + lost);
+        it.record_timeout(&limiter, 0, SECOND + lost);
         assert_eq!(it.lost().count(), 1, "{n} instances");
     }
 }
@@ -466,11 +468,11 @@
 #[test]
 fn a_loan_outlasts_a_message_that_is_lost() {
     for n in [1, 9, 200, 201, 300, 760, 5_000] {
-        let mut it = Pacing::default();
+        let mut it = RenewalScheduler::default();
         it.set_fleet(0, n);
         // It counts from the message before; the one after it is lost.
-        assert!(it.term() >= 3 * it.period(), "{n} instances");
-        assert!(n > 200 || it.term() == TERM, "{n} instances");
+        assert!(it.loan_duration() >= 3 * it.interval(), "{n} instances");
+        assert!(n > 200 || it.loan_duration() == MIN_LOAN_DURATION, "{n} instances");
     }
 }
 
@@ -502,16 +504,20 @@
             meant = 1 - meant;
             cut[meant] = false;
         }
-        let wanted = if rng.random_bool(0.1) { rng.random_range(TERM..2 * TERM) } else { TERM };
-        let told = lender.set_term(wanted);
-        let told = if fault == Fault::TellsLonger { told + TERM } else { told };
+        let wanted = if rng.random_bool(0.1) {
+            rng.random_range(MIN_LOAN_DURATION..2 * MIN_LOAN_DURATION)
+        } else {
+            MIN_LOAN_DURATION
+        };
+        let told = lender.raise_duration(wanted);
+        let told = if fault == Fault::TellsLonger { told + MIN_LOAN_DURATION } else { told };
         for to in (0..2).filter(|to| asked[*to].1 <= now).collect::<Vec<_>>() {
-            let mut slots = Slots::default();
+            let mut slots = SlotSet::default();
             let is_meant = to == meant && stamps[to].is_some();
             if is_meant && lender.lend(0, &names[to], false, now) {
                 slots.insert(0);
             }
-            let offer = Offer { slots, share: 1.0, since: stamps[to], term: told };
+            let offer = Offer { slots, share: 1.0, since: stamps[to], duration: told };
             asked[to] = (seq, now + 700_000);
             let late = if rng.random_bool(0.05) { 5 * SECOND } else { 600_000 };
             if !cut[to] && rng.random_bool(0.9) {
@@ -521,20 +527,20 @@
         let (due, left): (Vec<_>, Vec<_>) = wire.into_iter().partition(|it| it.0 <= now);
         wire = left;
         for (_, to, seq, mut offer) in due {
-            let stamp = limiters[to].stamp(now);
+            let stamp = limiters[to].timestamp(now);
             if fault == Fault::CountsFromArrival {
                 offer.since = Some(stamp);
             }
-            let answer = limiters[to].offered(&Name::from("lender"), seq, offer, now);
+            let answer = limiters[to].accept_offer(&Name::from("lender"), seq, offer, now);
             if asked[to].0 == seq {
                 asked[to].1 = now;
                 stamps[to] = Some(stamp);
-                lender.answered(&names[to], answer);
+                lender.apply_reply(&names[to], answer);
             }
         }
         let organisation = organisation(0);
         limiters.iter_mut().for_each(|it| {
-            it.claim(&organisation, LIMITS, Demand::plain(1), now);
+            it.claim(&organisation, LIMITS, Demand::unprioritised(1), now);
         });
         if limiters.iter().all(|it| it.share(&organisation) > 0.0) {
             return true;
@@ -561,14 +567,18 @@
 #[test]
 fn a_fleet_that_is_told_too_large_is_soon_forgotten() {
     let limiters = [Name::from("a"), Name::from("b")];
-    let mut it = Pacing::default();
+    let mut it = RenewalScheduler::default();
     it.set_fleet(0, u32::MAX as usize);
-    assert!(it.period() <= 4 * SECOND && it.term() <= LONGEST_TERM);
-    assert_eq!(it.due(&limiters, SECOND), limiters);
-    limiters.iter().for_each(|name| it.ended(name));
+    assert!(it.interval() <= 4 * SECOND && it.loan_duration() <= MAX_LOAN_DURATION);
+    assert_eq!(it.take_due(&limiters, SECOND), limiters);
+    limiters.iter().for_each(|name| it.complete(name));
     it.set_fleet(0, 9);
-    assert!(it.due(&limiters, SECOND).is_empty());
-    assert!(it.next(SECOND).is_some_and(|next| next <= PERIOD), "{:?}", it.next(SECOND));
+    assert!(it.take_due(&limiters, SECOND).is_empty());
+    assert!(
+        it.next_delay(SECOND).is_some_and(|next| next <= MIN_RENEWAL_INTERVAL),
+        "{:?}",
+        it.next_delay(SECOND)
+    );
 }
 
 /// A pause before one that is lost is asked again stays as long as it has to be.
@@ -576,37 +586,37 @@
 fn one_that_is_lost_is_not_asked_sooner() {
     let limiter = Name::from("a");
     let audience = std::slice::from_ref(&limiter);
-    let mut it = Pacing::default();
+    let mut it = RenewalScheduler::default();
     it.set_fleet(0, 9);
     let now = 10 * SECOND;
-    assert_eq!(it.due(audience, now), audience);
-    (0..9).for_each(|_| it.missed(&limiter, 500_000, now));
-    it.ended(&limiter);
-    assert!(it.due(audience, now + 900_000).is_empty());
-    assert_eq!(it.due(audience, now + SECOND), audience);
+    assert_eq!(it.take_due(audience, now), audience);
+    (0..9).for_each(|_| it.record_failure(&limiter, 500_000, now));
+    it.complete(&limiter);
+    assert!(it.take_due(audience, now + 900_000).is_empty());
+    assert_eq!(it.take_due(audience, now + SECOND), audience);
 }
 
 #[test]
 fn no_loan_lasts_longer_than_in_the_largest_fleet() {
     let lender = Name::from("lender");
     let mut it = Limiter::new(1);
-    let mut slots = Slots::default();
+    let mut slots = SlotSet::default();
     slots.insert(0);
-    let offer = Offer { slots, share: 1.0, since: Some(it.stamp(SECOND)), term: u64::MAX };
-    it.offered(&lender, 1, offer, SECOND);
+    let offer = Offer { slots, share: 1.0, since: Some(it.timestamp(SECOND)), duration: u64::MAX };
+    it.accept_offer(&lender, 1, offer, SECOND);
     let organisation = organisation(0);
     let mut share = |now: u64| {
-        it.claim(&organisation, LIMITS, Demand::plain(1), now);
+        it.claim(&organisation, LIMITS, Demand::unprioritised(1), now);
         it.share(&organisation)
     };
-    assert_eq!(share(SECOND + LONGEST_TERM - 1), 1.0);
-    assert_eq!(share(SECOND + LONGEST_TERM), 0.0);
+    assert_eq!(share(SECOND + MAX_LOAN_DURATION - 1), 1.0);
+    assert_eq!(share(SECOND + MAX_LOAN_DURATION), 0.0);
     // The lender counts as long.
     let mut lender = Lender::new(0);
-    assert_eq!(lender.set_term(u64::MAX), LONGEST_TERM);
+    assert_eq!(lender.raise_duration(u64::MAX), MAX_LOAN_DURATION);
     assert!(lender.lend(0, &Name::from("a"), true, SECOND));
-    assert!(!lender.lend(0, &Name::from("b"), true, SECOND + LONGEST_TERM - 1));
-    assert!(lender.lend(0, &Name::from("b"), true, SECOND + LONGEST_TERM));
+    assert!(!lender.lend(0, &Name::from("b"), true, SECOND + MAX_LOAN_DURATION - 1));
+    assert!(lender.lend(0, &Name::from("b"), true, SECOND + MAX_LOAN_DURATION));
 }
 
 /// The numbers of a lender's messages begin anew with its process. The limiter ignores those of the new one until the
@@ -615,32 +625,36 @@
 fn an_answer_to_an_ignored_offer_gives_nothing_back() {
     let (name, names) = (Name::from("lender"), [Name::from("a"), Name::from("b")]);
     let mut limiters = [Limiter::new(1), Limiter::new(2)];
-    let mut slots = Slots::default();
+    let mut slots = SlotSet::default();
     slots.insert(0);
     let now = 10 * SECOND;
-    let offer =
-        |it: &Limiter, slots, now| Offer { slots, share: 1.0, since: Some(it.stamp(now)), term: TERM };
+    let offer = |it: &Limiter, slots, now| Offer {
+        slots,
+        share: 1.0,
+        since: Some(it.timestamp(now)),
+        duration: MIN_LOAN_DURATION,
+    };
     // The earlier process says good-bye.
-    let last = offer(&limiters[0], Slots::default(), now);
-    assert!(!limiters[0].offered(&name, 1_000, last, now).is_ignored);
+    let last = offer(&limiters[0], SlotSet::default(), now);
+    assert!(!limiters[0].accept_offer(&name, 1_000, last, now).is_ignored);
     // Two messages of the new one lend; the first is late.
     let mut lender = Lender::new(now);
     assert!(lender.lend(0, &names[0], true, now));
-    let now = now + TERM - 100_000;
+    let now = now + MIN_LOAN_DURATION - 100_000;
     let late = offer(&limiters[0], slots, now);
     assert!(lender.lend(0, &names[0], true, now));
-    let ignored = limiters[0].offered(&name, 2, late, now);
+    let ignored = limiters[0].accept_offer(&name, 2, late, now);
     assert!(ignored.is_ignored && ignored.used.is_empty());
-    assert!(lender.answered(&names[0], ignored).is_empty());
+    assert!(lender.apply_reply(&names[0], ignored).is_empty());
     // Another is its limiter now: it isn't lent to while the late one may count.
     let lent = lender.lend(0, &names[1], false, now + 1);
     let now = now + 200_000;
-    assert!(!limiters[0].offered(&name, 1, late, now).is_ignored);
+    assert!(!limiters[0].accept_offer(&name, 1, late, now).is_ignored);
     if lent {
         let other = offer(&limiters[1], slots, now);
-        limiters[1].offered(&name, 3, other, now);
+        limiters[1].accept_offer(&name, 3, other, now);
     }
     let fills = limiters.iter().filter(|it| it.share(&organisation(0)) > 0.0).count();
     assert_eq!((lent, fills), (false, 1));
-    assert!(lender.lend(0, &names[1], false, now + TERM));
+    assert!(lender.lend(0, &names[1], false, now + MIN_LOAN_DURATION));
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -2,8 +2,8 @@
 
 use {
     pondtrack_core::{
+        gossip::{FANOUT, PeerSelection},
         member::{MemberConfig, Members, Output},
-        spread::{Choice, FANOUT},
     },
     pondtrack_proto::{Datagram, Fact, FactKey, FactKind, MemberState, MemberView, Payload},
     rand::{RngExt, SeedableRng},
@@ -37,7 +37,7 @@
     }
 }
 
-fn node(n: usize, incarnation: u64, choice: Choice) -> Members {
+fn node(n: usize, incarnation: u64, choice: PeerSelection) -> Members {
     let me = MemberView {
         name: format!("p{n:03}").into(),
         addr: addr(n),
@@ -51,7 +51,7 @@
 }
 
 impl Fleet {
-    fn new(n: usize, seed: u64, loss: f64, choice: Choice) -> Fleet {
+    fn new(n: usize, seed: u64, loss: f64, choice: PeerSelection) -> Fleet {
         let nodes = (0..n).map(|it| Some(node(it, 1, choice))).collect();
         let rng = Pcg64Mcg::seed_from_u64(seed);
         Fleet { nodes, flight: Vec::new(), now: 0, rng, loss, cut: Vec::new(), sent: 0, bytes: 0 }
@@ -135,17 +135,17 @@
     #[values(1, 2, 3)] seed: u64,
     #[values(0.0, 0.1)] loss: f64,
 ) {
-    let mut fleet = Fleet::new(16, seed, loss, Choice::Uniform);
+    let mut fleet = Fleet::new(16, seed, loss, PeerSelection::Uniform);
     assert!(fleet.until(60_000, |it| it.all_see(16)).is_some());
     fleet.nodes[7] = None;
     assert!(fleet.until(60_000, |it| it.all_see(15)).is_some());
-    fleet.nodes[7] = Some(node(7, 2, Choice::Uniform));
+    fleet.nodes[7] = Some(node(7, 2, PeerSelection::Uniform));
     assert!(fleet.until(60_000, |it| it.all_see(16)).is_some(), "a restart under the same name is let in");
 }
 
 #[test]
 fn a_cut_between_two_alone_condemns_nobody() {
-    let mut fleet = Fleet::new(9, 4, 0.0, Choice::Uniform);
+    let mut fleet = Fleet::new(9, 4, 0.0, PeerSelection::Uniform);
     fleet.until(60_000, |it| it.all_see(9)).expect("joined");
     fleet.cut.push((1, 2));
     let before = fleet.now;
@@ -157,7 +157,7 @@
 
 #[test]
 fn regions_cut_from_each_other_find_each_other_again() {
-    let mut fleet = Fleet::new(12, 5, 0.0, Choice::Uniform);
+    let mut fleet = Fleet::new(12, 5, 0.0, PeerSelection::Uniform);
     fleet.until(60_000, |it| it.all_see(12)).expect("joined");
     for a in 0..6 {
         for b in 6..12 {
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_paused_instance_condemns_nobody_when_it_goes_on() {
-    let mut fleet = Fleet::new(9, 6, 0.0, Choice::Uniform);
+    let mut fleet = Fleet::new(9, 6, 0.0, PeerSelection::Uniform);
     fleet.until(60_000, |it| it.all_see(9)).expect("joined");
     let paused = fleet.nodes[3].take();
     assert!(fleet.until(60_000, |it| it.all_see(8)).is_some());
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_leaving_instance_is_known_within_a_second() {
-    let mut fleet = Fleet::new(16, 7, 0.0, Choice::Uniform);
+    let mut fleet = Fleet::new(16, 7, 0.0, PeerSelection::Uniform);
     fleet.until(60_000, |it| it.all_see(16)).expect("joined");
     let out = fleet.nodes[5].as_mut().expect("up").leave();
     fleet.send(5, out);
@@ -200,7 +200,7 @@
 
 #[rstest]
 fn news_reach_everyone_and_never_revert(#[values(1, 2, 3)] seed: u64, #[values(0.0, 0.2)] loss: f64) {
-    let mut fleet = Fleet::new(24, seed, loss, Choice::Uniform);
+    let mut fleet = Fleet::new(24, seed, loss, PeerSelection::Uniform);
     fleet.until(60_000, |it| it.all_see(24)).expect("joined");
     let key = fact("parts", 1).key;
     let mut highest = [0; 24];
@@ -221,7 +221,7 @@
 
 #[test]
 fn an_instance_that_starts_during_an_outage_learns_from_its_peers() {
-    let mut fleet = Fleet::new(6, 8, 0.0, Choice::Uniform);
+    let mut fleet = Fleet::new(6, 8, 0.0, PeerSelection::Uniform);
     for n in 0..40 {
         let out = fleet.nodes[1].as_mut().expect("up").learn(fact(&format!("db{n}"), n + 1));
         fleet.send(1, out);
@@ -229,7 +229,7 @@
     fleet.until(60_000, |it| it.all_see(6)).expect("joined");
     let key = fact("db39", 40).key;
     fleet.until(60_000, |it| it.all_hold(&key, 40)).expect("spread");
-    fleet.nodes[4] = Some(node(4, 9, Choice::Uniform));
+    fleet.nodes[4] = Some(node(4, 9, PeerSelection::Uniform));
     let all = |it: &Fleet| it.live().all(|m| m.spread.facts().len() == 40);
     assert!(fleet.until(30_000, all).is_some());
 }
@@ -237,7 +237,7 @@
 #[test]
 fn the_cost_of_an_instance_does_not_grow_with_the_fleet() {
     let cost = |n: usize| {
-        let mut fleet = Fleet::new(n, 9, 0.0, Choice::Uniform);
+        let mut fleet = Fleet::new(n, 9, 0.0, PeerSelection::Uniform);
         fleet.until(200_000, |it| it.all_see(n)).expect("joined");
         for _ in 0..400 {
             fleet.step();
@@ -255,9 +255,9 @@
 }
 
 #[rstest]
-#[case(Choice::Uniform)]
-#[case(Choice::Groups)]
-fn a_push_costs_a_bounded_number_of_messages(#[case] choice: Choice) {
+#[case(PeerSelection::Uniform)]
+#[case(PeerSelection::Groups)]
+fn a_push_costs_a_bounded_number_of_messages(#[case] choice: PeerSelection) {
     let mut fleet = Fleet::new(64, 10, 0.0, choice);
     fleet.until(200_000, |it| it.all_see(64)).expect("joined");
     let facts = |it: &Fleet| it.flight.iter().filter(|f| matches!(f.2.body, Payload::Facts { .. })).count();
@@ -272,7 +272,7 @@
 fn a_death_is_known_soon_although_much_other_news_is_about() {
     let mut worst = 0;
     for seed in 0..6 {
-        let mut fleet = Fleet::new(96, seed, 0.0, Choice::Uniform);
+        let mut fleet = Fleet::new(96, seed, 0.0, PeerSelection::Uniform);
         fleet.until(200_000, |it| it.all_see(96)).expect("joined");
         fleet.nodes[7] = None;
         worst = worst.max(fleet.until(60_000, |it| it.all_see(95)).expect("known"));
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -2,7 +2,8 @@
 
 use {
     pondtrack_core::quota::{
-        Demand, Grant, HOLD, Lender, Limiter, Limits, Places, SLOTS, Slots, Stamp, TERM, slot,
+        Demand, Grant, Lender, Limiter, Limits, MAX_DELAY, MIN_LOAN_DURATION, RetrySchedule, SLOTS, SlotSet,
+        Timestamp, slot,
     },
     pondtrack_proto::Name,
     rand::{Rng, RngExt, SeedableRng},
@@ -44,7 +45,7 @@
     lender: Lender,
     limiter: Limiter,
     /// The stamps that limiters told, by their place.
-    stamps: Vec<Option<Stamp>>,
+    stamps: Vec<Option<Timestamp>>,
     /// The message that is under way to each, with when it is given up.
     asked: Vec<Option<(u64, u64)>>,
     frozen: u64,
@@ -52,8 +53,8 @@
 }
 
 enum Message {
-    Lend { from: usize, to: usize, seq: u64, slots: Slots, stamp: Option<Stamp>, process: u64 },
-    Used { from: usize, to: usize, seq: u64, slots: Slots, stamp: Stamp, process: u64 },
+    Lend { from: usize, to: usize, seq: u64, slots: SlotSet, stamp: Option<Timestamp>, process: u64 },
+    Used { from: usize, to: usize, seq: u64, slots: SlotSet, stamp: Timestamp, process: u64 },
 }
 
 struct World {
@@ -101,7 +102,7 @@
 
     fn member(&mut self, at: usize) -> Member {
         let process = self.rng.next_u64();
-        let since = if self.fault == Fault::StartsAtOnce { self.now - TERM } else { self.now };
+        let since = if self.fault == Fault::StartsAtOnce { self.now - MIN_LOAN_DURATION } else { self.now };
         let n = self.views.len();
         Member {
             name: Name::from(format!("n{at}")),
@@ -156,19 +157,21 @@
 
     /// An instance's callers claim what they can, in any order.
     fn claim_all(&mut self, at: usize, organisation: &Name) {
-        let Some(rng) = &mut self.kinds else { return self.claim(at, organisation, Demand::plain(5)) };
+        let Some(rng) = &mut self.kinds else {
+            return self.claim(at, organisation, Demand::unprioritised(5));
+        };
         let (first, left) = (rng.random_range(0..3), rng.random_range(0..2 * SECOND));
         for n in 0..3 {
-            self.claim(at, organisation, Demand::of(5, (first + n) % 3, left));
+            self.claim(at, organisation, Demand::prioritised(5, (first + n) % 3, left));
         }
         // Some instances may not know of priorities yet; what was kept back until here is theirs.
-        self.claim(at, organisation, Demand::plain(5));
+        self.claim(at, organisation, Demand::unprioritised(5));
     }
 
     fn claim(&mut self, at: usize, organisation: &Name, demand: Demand) {
         match self.members[at].limiter.claim(organisation, LIMITS, demand, self.now) {
             Grant::Granted { count, after, .. } => {
-                assert!(after <= HOLD + 1 && count <= demand.count);
+                assert!(after <= MAX_DELAY + 1 && count <= demand.count);
                 self.granted.push((self.now, count));
             }
             Grant::Refused(places) if self.fault == Fault::ReserveAdds && places.reserved => {
@@ -187,12 +190,12 @@
             if asked.is_some_and(|(_, until)| until <= now) {
                 *asked = None;
                 if self.fault == Fault::GoesOnAtOnce {
-                    it.lender = Lender::new(now - TERM);
+                    it.lender = Lender::new(now - MIN_LOAN_DURATION);
                 }
             }
         }
         let meant: [Name; SLOTS] = std::array::from_fn(|_| to.clone());
-        let mut all = it.lender.misplaced(&meant, now);
+        let mut all = it.lender.stale_holders(&meant, now);
         all.push(to);
         for name in all {
             let to = (0..self.members.len()).find(|n| self.members[*n].name == name).unwrap();
@@ -200,7 +203,7 @@
                 continue;
             }
             let usual = self.usual == Some(to);
-            let mut slots = Slots::default();
+            let mut slots = SlotSet::default();
             for slot in (0..SLOTS).filter(|_| to == view) {
                 if self.members[at].lender.lend(slot, &name, usual, now) {
                     slots.insert(slot);
@@ -238,10 +241,10 @@
                     if it.process != process {
                         continue;
                     }
-                    let own = it.limiter.stamp(now);
+                    let own = it.limiter.timestamp(now);
                     let stamp = if self.fault == Fault::CountsFromArrival { Some(own) } else { stamp };
                     let share = 1.0 / self.views.len() as f64;
-                    let slots = it.limiter.lent(&name, seq, slots, share, stamp, now);
+                    let slots = it.limiter.accept(&name, seq, slots, share, stamp, now);
                     self.post(Message::Used { from: to, to: from, seq, slots, stamp: own, process: sender });
                 }
                 Message::Used { from, to, seq, slots, stamp, process } => {
@@ -252,7 +255,7 @@
                     }
                     it.asked[from] = None;
                     it.stamps[from] = Some(stamp);
-                    it.lender.returned(&name, slots);
+                    it.lender.release_except(&name, slots);
                 }
             }
         }
@@ -275,7 +278,7 @@
 }
 
 fn bound() -> u32 {
-    let window = (WINDOW + HOLD) as f64 / SECOND as f64;
+    let window = (WINDOW + MAX_DELAY) as f64 / SECOND as f64;
     (LIMITS.rate * window + LIMITS.burst + LIMITS.margin).ceil() as u32
 }
 
@@ -332,12 +335,12 @@
 /// A limiter to which `n` instances have lent their shares.
 fn limiter(n: u64, now: u64) -> Limiter {
     let mut it = Limiter::new(1);
-    let stamp = Some(it.stamp(now));
-    let mut slots = Slots::default();
+    let stamp = Some(it.timestamp(now));
+    let mut slots = SlotSet::default();
     (0..SLOTS).for_each(|slot| slots.insert(slot));
     for lender in 0..n {
         let name = Name::from(format!("n{lender}"));
-        assert_eq!(it.lent(&name, 1, slots, 1.0 / n as f64, stamp, now), slots);
+        assert_eq!(it.accept(&name, 1, slots, 1.0 / n as f64, stamp, now), slots);
     }
     it
 }
@@ -350,16 +353,16 @@
     let mut refused = 0;
     // Nine tenths of the limit, evenly.
     for n in 0..20 {
-        let stamp = Some(it.stamp(now));
-        let mut slots = Slots::default();
+        let stamp = Some(it.timestamp(now));
+        let mut slots = SlotSet::default();
         slots.insert(slot(&organisation));
         for lender in 0..71 {
-            it.lent(&Name::from(format!("n{lender}")), 2 + n, slots, 1.0 / 71.0, stamp, now);
+            it.accept(&Name::from(format!("n{lender}")), 2 + n, slots, 1.0 / 71.0, stamp, now);
         }
         for _ in 0..18 {
             now += SECOND / 18;
             refused += u32::from(matches!(
-                it.claim(&organisation, LIMITS, Demand::plain(1), now),
+                it.claim(&organisation, LIMITS, Demand::unprioritised(1), now),
                 Grant::Refused(_)
             ));
         }
@@ -372,16 +375,18 @@
     let organisation = Name::from("acme");
     let mut it = limiter(4, SECOND);
     let now = 2 * SECOND;
-    while matches!(it.claim(&organisation, LIMITS, Demand::plain(1), now), Grant::Granted { .. }) {}
-    let Grant::Refused(Places { after, .. }) = it.claim(&organisation, LIMITS, Demand::plain(1), now) else {
+    while matches!(it.claim(&organisation, LIMITS, Demand::unprioritised(1), now), Grant::Granted { .. }) {}
+    let Grant::Refused(RetrySchedule { after, .. }) =
+        it.claim(&organisation, LIMITS, Demand::unprioritised(1), now)
+    else {
         panic!("granted")
     };
     assert!(matches!(
-        it.claim(&organisation, LIMITS, Demand::plain(1), now + after - 1_000),
+        it.claim(&organisation, LIMITS, Demand::unprioritised(1), now + after - 1_000),
         Grant::Refused(_)
     ));
     assert!(matches!(
-        it.claim(&organisation, LIMITS, Demand::plain(1), now + after),
+        it.claim(&organisation, LIMITS, Demand::unprioritised(1), now + after),
         Grant::Granted { count: 1, .. }
     ));
 }
@@ -390,8 +395,8 @@
 fn without_a_share_nothing_is_granted() {
     let mut it = Limiter::new(1);
     assert_eq!(
-        it.claim(&Name::from("acme"), LIMITS, Demand::plain(1), SECOND),
-        Grant::Refused(Places::at(TERM))
+        it.claim(&Name::from("acme"), LIMITS, Demand::unprioritised(1), SECOND),
+        Grant::Refused(RetrySchedule::at(MIN_LOAN_DURATION))
     );
 }
 
@@ -399,9 +404,10 @@
 fn a_lowered_limit_takes_a_full_bucket_with_it() {
     let organisation = Name::from("acme");
     let mut it = limiter(4, SECOND);
-    it.claim(&organisation, LIMITS, Demand::plain(1), SECOND + TERM - 1);
+    it.claim(&organisation, LIMITS, Demand::unprioritised(1), SECOND + MIN_LOAN_DURATION - 1);
     let low = Limits { rate: 1.0, burst: 1.0, margin: 0.0 };
-    let Grant::Granted { count, .. } = it.claim(&organisation, low, Demand::plain(10), SECOND + TERM - 1)
+    let Grant::Granted { count, .. } =
+        it.claim(&organisation, low, Demand::unprioritised(10), SECOND + MIN_LOAN_DURATION - 1)
     else {
         panic!()
     };
@@ -427,12 +433,12 @@
     /// This part of the instances lends on.
     fn lend(&mut self, part: f64) {
         let n = self.lenders.len();
-        let mut slots = Slots::default();
+        let mut slots = SlotSet::default();
         (0..SLOTS).for_each(|slot| slots.insert(slot));
-        let stamp = Some(self.limiter.stamp(self.now));
+        let stamp = Some(self.limiter.timestamp(self.now));
         self.seq += 1;
         for it in &self.lenders[..(n as f64 * part) as usize] {
-            self.limiter.lent(it, self.seq, slots, 1.0 / n as f64, stamp, self.now);
+            self.limiter.accept(it, self.seq, slots, 1.0 / n as f64, stamp, self.now);
         }
     }
 
@@ -450,7 +456,7 @@
             self.now += (SECOND as f64 / rate) as u64;
             asked += 1;
             if let Grant::Granted { count, .. } =
-                self.limiter.claim(&organisation, LIMITS, Demand::plain(1), self.now)
+                self.limiter.claim(&organisation, LIMITS, Demand::unprioritised(1), self.now)
             {
                 granted += count;
             }
--- a/crates/core/tests/quota_walk.rs
+++ b/crates/core/tests/quota_walk.rs
@@ -2,7 +2,9 @@
 //! never used in two places. And every order of claims, by their urgency, at one limiter: a bucket grants what it holds.
 
 use {
-    pondtrack_core::quota::{Demand, Grant, HOLD, Lender, Limiter, Limits, Slots, Stamp, TERM, slot},
+    pondtrack_core::quota::{
+        Demand, Grant, Lender, Limiter, Limits, MAX_DELAY, MIN_LOAN_DURATION, SlotSet, Timestamp, slot,
+    },
     pondtrack_proto::Name,
     rstest::rstest,
     std::collections::{HashSet, VecDeque},
@@ -10,8 +12,8 @@
 
 const ORGANISATION: &str = "acme";
 /// Time goes in steps of this length.
-const TICK: u64 = TERM / 3;
-const BEGIN: u64 = 10 * TERM;
+const TICK: u64 = MIN_LOAN_DURATION / 3;
+const BEGIN: u64 = 10 * MIN_LOAN_DURATION;
 /// Messages under way at once.
 const MESSAGES: usize = 2;
 
@@ -47,7 +49,7 @@
 struct Member {
     lender: Lender,
     limiter: Limiter,
-    stamps: [Option<Stamp>; 2],
+    stamps: [Option<Timestamp>; 2],
     /// The message that is owed an answer, by limiter.
     asked: [Option<u64>; 2],
     process: u64,
@@ -55,8 +57,8 @@
 
 #[derive(Clone)]
 enum Message {
-    Lend { from: usize, to: usize, seq: u64, slots: Slots, stamp: Option<Stamp>, processes: (u64, u64) },
-    Used { from: usize, to: usize, seq: u64, slots: Slots, stamp: Stamp, process: u64 },
+    Lend { from: usize, to: usize, seq: u64, slots: SlotSet, stamp: Option<Timestamp>, processes: (u64, u64) },
+    Used { from: usize, to: usize, seq: u64, slots: SlotSet, stamp: Timestamp, process: u64 },
 }
 
 #[derive(Clone)]
@@ -78,8 +80,8 @@
     Name::from(["a", "b"][at])
 }
 
-fn own_slot() -> Slots {
-    let mut it = Slots::default();
+fn own_slot() -> SlotSet {
+    let mut it = SlotSet::default();
     it.insert(slot(ORGANISATION));
     it
 }
@@ -97,7 +99,7 @@
 impl World {
     fn new(fault: Fault, size: Size) -> World {
         // Both have been there for long.
-        let members = [member(1, BEGIN - 2 * TERM), member(2, BEGIN - 2 * TERM)];
+        let members = [member(1, BEGIN - 2 * MIN_LOAN_DURATION), member(2, BEGIN - 2 * MIN_LOAN_DURATION)];
         World {
             fault,
             size,
@@ -153,7 +155,7 @@
         if lends && !lent && stamp.is_some() {
             return false;
         }
-        let slots = if lent { own_slot() } else { Slots::default() };
+        let slots = if lent { own_slot() } else { SlotSet::default() };
         self.seq += 1;
         self.members[at].asked[to] = Some(self.seq);
         let processes = (self.members[at].process, self.members[to].process);
@@ -163,13 +165,13 @@
 
     fn give_up(&mut self, at: usize, to: usize) -> bool {
         if self.fault == Fault::GoesOnAtOnce && self.members[at].asked[to].is_some() {
-            self.members[at].lender = Lender::new(self.now - TERM);
+            self.members[at].lender = Lender::new(self.now - MIN_LOAN_DURATION);
         }
         self.members[at].asked[to].take().is_some()
     }
 
     fn restart(&mut self, at: usize) -> bool {
-        let waited = if self.fault == Fault::StartsAtOnce { self.now - TERM } else { self.now };
+        let waited = if self.fault == Fault::StartsAtOnce { self.now - MIN_LOAN_DURATION } else { self.now };
         self.members[at] = member(self.members[at].process + 10, waited);
         self.restarts += 1;
         self.restarts <= self.size.restarts
@@ -184,10 +186,10 @@
                     return false;
                 }
                 self.heard[from][to] = self.heard[from][to].max(seq);
-                let own = it.limiter.stamp(now);
+                let own = it.limiter.timestamp(now);
                 let stamp = if self.fault == Fault::CountsFromArrival { Some(own) } else { stamp };
                 let order = if self.fault == Fault::ForgetsOrder { 1_000 + now + n as u64 } else { seq };
-                let slots = it.limiter.lent(&name(from), order, slots, SHARE, stamp, now);
+                let slots = it.limiter.accept(&name(from), order, slots, SHARE, stamp, now);
                 self.wire.push(Message::Used { from: to, to: from, seq, slots, stamp: own, process: sender });
             }
             Message::Used { from, to, seq, slots, stamp, process } => {
@@ -197,7 +199,7 @@
                 }
                 it.asked[from] = None;
                 it.stamps[from] = Some(stamp);
-                it.lender.returned(&name(from), slots);
+                it.lender.release_except(&name(from), slots);
             }
         }
         true
@@ -209,7 +211,7 @@
         it.claim(
             &Name::from(ORGANISATION),
             Limits { rate: 0.0, burst: 0.0, margin: 0.0 },
-            Demand::plain(0),
+            Demand::unprioritised(0),
             self.now + later,
         );
         it.share(ORGANISATION)
@@ -221,7 +223,9 @@
 
     /// What the future of this state depends on, in times from now.
     fn key(&self) -> String {
-        let age = |it: Option<Stamp>| it.map(|it| (it.process, (self.now - it.at).min(2 * TERM) / TICK));
+        let age = |it: Option<Timestamp>| {
+            it.map(|it| (it.process, (self.now - it.at).min(2 * MIN_LOAN_DURATION) / TICK))
+        };
         let mut live: Vec<u64> = self.members.iter().flat_map(|it| it.asked).flatten().collect();
         live.extend(self.wire.iter().map(|it| match it {
             Message::Lend { seq, .. } | Message::Used { seq, .. } => *seq,
@@ -332,10 +336,10 @@
 
     /// An instance lends its half, or takes it back.
     fn lend(&mut self, at: usize, lends: bool) {
-        let stamp = Some(self.limiter.stamp(self.now));
+        let stamp = Some(self.limiter.timestamp(self.now));
         self.seq += 1;
-        let slots = if lends { own_slot() } else { Slots::default() };
-        self.limiter.lent(&name(at), self.seq, slots, 0.5, stamp, self.now);
+        let slots = if lends { own_slot() } else { SlotSet::default() };
+        self.limiter.accept(&name(at), self.seq, slots, 0.5, stamp, self.now);
     }
 
     fn claim(&mut self, demand: Demand) {
@@ -360,8 +364,8 @@
                 0 => it.now += STEP,
                 1 => it.now += 5 * STEP,
                 2 => it.lend(1, false),
-                3 => it.claim(Demand::plain(1)),
-                kind => it.claim(Demand::of(2, kind - 4, 10 * STEP)),
+                3 => it.claim(Demand::unprioritised(1)),
+                kind => it.claim(Demand::prioritised(2, kind - 4, 10 * STEP)),
             }
             it
         })
@@ -373,13 +377,14 @@
         let mut all = self.granted.clone();
         let mut limiter = self.limiter.clone();
         if let Grant::Granted { count, .. } =
-            limiter.claim(&Name::from(ORGANISATION), LIMITS, Demand::of(100, 0, 0), self.now)
+            limiter.claim(&Name::from(ORGANISATION), LIMITS, Demand::prioritised(100, 0, 0), self.now)
         {
             all.push((self.now, count));
         }
         let sum = |from: usize| all[from..].iter().map(|it| it.1).sum::<u32>();
-        let bound =
-            |from: u64| LIMITS.rate * (self.now - from + HOLD) as f64 / 1e6 + LIMITS.burst + LIMITS.margin;
+        let bound = |from: u64| {
+            LIMITS.rate * (self.now - from + MAX_DELAY) as f64 / 1e6 + LIMITS.burst + LIMITS.margin
+        };
         all.iter().enumerate().all(|(n, it)| f64::from(sum(n)) <= bound(it.0) + 1e-6)
     }
 }
--- a/crates/core/tests/retry_after.rs
+++ b/crates/core/tests/retry_after.rs
@@ -2,8 +2,8 @@
 
 use {
     pondtrack_core::{
-        quota::{Demand, Grant, Limiter, Limits, Places, SLOTS, Slots, Urgency},
-        retry_after::{Refusals, RetryAfter},
+        quota::{Demand, Grant, Limiter, Limits, RetrySchedule, SLOTS, SlotSet, Urgency},
+        retry_after::{RefusalCache, RetryAfter},
     },
     pondtrack_proto::Name,
     std::ops::Range,
@@ -18,11 +18,11 @@
 /// A limiter whose organisation has used all.
 fn used_up() -> Limiter {
     let mut it = Limiter::new(1);
-    let stamp = Some(it.stamp(SECOND));
-    let mut slots = Slots::default();
+    let stamp = Some(it.timestamp(SECOND));
+    let mut slots = SlotSet::default();
     (0..SLOTS).for_each(|slot| slots.insert(slot));
-    it.lent(&Name::from("n0"), 1, slots, 1.0, stamp, SECOND);
-    claim(&mut it, Demand::plain(100), 0);
+    it.accept(&Name::from("n0"), 1, slots, 1.0, stamp, SECOND);
+    claim(&mut it, Demand::unprioritised(100), 0);
     it
 }
 
@@ -30,15 +30,15 @@
     it.claim(&Name::from("acme"), LIMITS, demand, SECOND + later)
 }
 
-fn refused(it: &mut Limiter, demand: Demand) -> Places {
+fn refused(it: &mut Limiter, demand: Demand) -> RetrySchedule {
     match claim(it, demand, 0) {
         Grant::Refused(places) => places,
         Grant::Granted { .. } => panic!("granted"),
     }
 }
 
-fn times(places: Places, of: Range<u32>) -> Vec<u64> {
-    of.map(|n| places.nth(n, None).after()).collect()
+fn times(places: RetrySchedule, of: Range<u32>) -> Vec<u64> {
+    of.map(|n| places.retry_after(n, None).delay()).collect()
 }
 
 #[test]
@@ -46,7 +46,7 @@
     let mut it = used_up();
     let mut told = Vec::new();
     for _ in 0..5 {
-        told.extend(times(refused(&mut it, Demand::of(3, 1, LONG)), 0..3));
+        told.extend(times(refused(&mut it, Demand::prioritised(3, 1, LONG)), 0..3));
     }
     // Tokens come in every 100 ms, and nobody is told to come sooner than the one before it can be served.
     assert!(told.windows(2).all(|it| it[0] + 100_000 <= it[1]), "{told:?}");
@@ -55,29 +55,29 @@
 
 #[test]
 fn a_place_after_the_callers_time_is_said_to_be_too_late() {
-    let places = Places { after: 50_000, step: 100_000, reserved: false };
-    assert_eq!(places.nth(0, Some(50_000)), RetryAfter::Room { after: 50_000 });
-    assert_eq!(places.nth(1, Some(50_000)), RetryAfter::TooLate { after: 150_000 });
-    assert_eq!(places.nth(1, None), RetryAfter::Room { after: 150_000 });
+    let places = RetrySchedule { after: 50_000, step: 100_000, reserved: false };
+    assert_eq!(places.retry_after(0, Some(50_000)), RetryAfter::Room { after: 50_000 });
+    assert_eq!(places.retry_after(1, Some(50_000)), RetryAfter::TooLate { after: 150_000 });
+    assert_eq!(places.retry_after(1, None), RetryAfter::Room { after: 150_000 });
 }
 
 #[test]
 fn who_comes_too_late_takes_no_place() {
     let mut it = used_up();
-    let first = refused(&mut it, Demand::of(1, 1, LONG));
+    let first = refused(&mut it, Demand::prioritised(1, 1, LONG));
     for _ in 0..50 {
-        let places = refused(&mut it, Demand::of(1, 1, 1_000));
-        assert!(matches!(places.nth(0, Some(1_000)), RetryAfter::TooLate { .. }));
+        let places = refused(&mut it, Demand::prioritised(1, 1, 1_000));
+        assert!(matches!(places.retry_after(0, Some(1_000)), RetryAfter::TooLate { .. }));
     }
-    let next = refused(&mut it, Demand::of(1, 1, LONG));
+    let next = refused(&mut it, Demand::prioritised(1, 1, LONG));
     assert!(next.after <= first.after + 3 * next.step, "{first:?}, {next:?}");
 }
 
 #[test]
 fn places_that_nobody_takes_are_forgotten() {
     let mut it = used_up();
-    let last = refused(&mut it, Demand::of(8, 1, LONG)).nth(7, None).after();
-    let Grant::Granted { count, .. } = claim(&mut it, Demand::of(1, 1, LONG), last + 10_000) else {
+    let last = refused(&mut it, Demand::prioritised(8, 1, LONG)).retry_after(7, None).delay();
+    let Grant::Granted { count, .. } = claim(&mut it, Demand::prioritised(1, 1, LONG), last + 10_000) else {
         panic!()
     };
     assert_eq!(count, 1);
@@ -86,67 +86,67 @@
 #[test]
 fn a_more_urgent_caller_doesn_t_come_after_the_places_of_others() {
     let mut it = used_up();
-    refused(&mut it, Demand::of(20, 1, LONG));
-    let places = refused(&mut it, Demand::of(1, 0, LONG));
+    refused(&mut it, Demand::prioritised(20, 1, LONG));
+    let places = refused(&mut it, Demand::prioritised(1, 0, LONG));
     assert!(places.after <= 200_000, "{places:?}");
 }
 
-const PLACE: Places = Places { after: 60_000, step: 20_000, reserved: true };
+const PLACE: RetrySchedule = RetrySchedule { after: 60_000, step: 20_000, reserved: true };
 
 fn urgency(priority: u8) -> Option<Urgency> {
-    Some(Urgency { priority, left: SECOND })
+    Some(Urgency { priority, remaining: SECOND })
 }
 
 #[test]
 fn an_instance_answers_by_itself_until_a_place_is_due() {
     let acme = Name::from("acme");
-    let mut it = Refusals::default();
-    assert_eq!(it.known(&acme, urgency(1), SECOND), None);
-    assert_eq!(it.refused(&acme, urgency(1), PLACE, SECOND), RetryAfter::Room { after: 60_000 });
+    let mut it = RefusalCache::default();
+    assert_eq!(it.lookup(&acme, urgency(1), SECOND), None);
+    assert_eq!(it.insert(&acme, urgency(1), PLACE, SECOND), RetryAfter::Room { after: 60_000 });
     // Others come before: each has a place of its own, and the limiter isn't asked.
     for n in 1..10 {
-        let told = it.known(&acme, urgency(1), SECOND).map(RetryAfter::after);
+        let told = it.lookup(&acme, urgency(1), SECOND).map(RetryAfter::delay);
         assert_eq!(told, Some(60_000 + n * 20_000));
     }
     // Nobody has to wait for those who were told that it is too late.
-    let late = Some(Urgency { priority: 1, left: 0 });
+    let late = Some(Urgency { priority: 1, remaining: 0 });
     assert!(
         (0..10)
-            .all(|_| matches!(it.known(&acme, late, SECOND), Some(RetryAfter::TooLate { after: 260_000 })))
+            .all(|_| matches!(it.lookup(&acme, late, SECOND), Some(RetryAfter::TooLate { after: 260_000 })))
     );
     // The limiter is asked once for each place.
-    assert_eq!(it.known(&acme, urgency(1), SECOND + 60_000), None);
-    it.refused(&acme, urgency(1), Places { after: 500_000, ..PLACE }, SECOND + 60_000);
-    assert!(it.known(&acme, urgency(1), SECOND + 60_000).is_some());
-    assert_eq!(it.known(&acme, urgency(1), SECOND + 80_000), None);
-    assert!(it.known(&acme, urgency(1), SECOND + 81_000).is_some());
+    assert_eq!(it.lookup(&acme, urgency(1), SECOND + 60_000), None);
+    it.insert(&acme, urgency(1), RetrySchedule { after: 500_000, ..PLACE }, SECOND + 60_000);
+    assert!(it.lookup(&acme, urgency(1), SECOND + 60_000).is_some());
+    assert_eq!(it.lookup(&acme, urgency(1), SECOND + 80_000), None);
+    assert!(it.lookup(&acme, urgency(1), SECOND + 81_000).is_some());
     // A refusal isn't believed for long.
-    assert_eq!(it.known(&acme, urgency(1), SECOND + 300_000), None);
-    assert_eq!(it.known(&acme, urgency(1), 3 * SECOND), None);
+    assert_eq!(it.lookup(&acme, urgency(1), SECOND + 300_000), None);
+    assert_eq!(it.lookup(&acme, urgency(1), 3 * SECOND), None);
 }
 
 #[test]
 fn nobody_is_refused_by_what_others_were_told() {
     let acme = Name::from("acme");
-    let mut it = Refusals::default();
-    it.refused(&acme, urgency(1), PLACE, SECOND);
-    assert_eq!(it.known(&acme, urgency(0), SECOND), None);
-    assert_eq!(it.known(&acme, urgency(2), SECOND), None);
-    assert_eq!(it.known(&Name::from("beta"), urgency(1), SECOND), None);
-    assert!(it.known(&acme, urgency(1), SECOND).is_some());
+    let mut it = RefusalCache::default();
+    it.insert(&acme, urgency(1), PLACE, SECOND);
+    assert_eq!(it.lookup(&acme, urgency(0), SECOND), None);
+    assert_eq!(it.lookup(&acme, urgency(2), SECOND), None);
+    assert_eq!(it.lookup(&Name::from("beta"), urgency(1), SECOND), None);
+    assert!(it.lookup(&acme, urgency(1), SECOND).is_some());
 }
 
 #[test]
 fn operations_that_aren_t_told_apart_are_all_told_the_same_moment() {
     let acme = Name::from("acme");
-    let mut it = Refusals::default();
-    let told = it.refused(&acme, None, Places::at(1_000), SECOND);
+    let mut it = RefusalCache::default();
+    let told = it.insert(&acme, None, RetrySchedule::at(1_000), SECOND);
     assert_eq!(told, RetryAfter::Room { after: 1_000 });
-    let known = |it: &mut Refusals, later| it.known(&acme, None, SECOND + later).map(RetryAfter::after);
+    let known = |it: &mut RefusalCache, later| it.lookup(&acme, None, SECOND + later).map(RetryAfter::delay);
     assert_eq!(known(&mut it, 0), Some(5_000));
     assert_eq!(known(&mut it, 4_000), Some(1_000));
     assert_eq!(known(&mut it, 5_000), None);
-    it.refused(&acme, None, Places::at(SECOND), SECOND);
+    it.insert(&acme, None, RetrySchedule::at(SECOND), SECOND);
     assert_eq!(known(&mut it, 0), Some(200_000));
 }
 
@@ -155,8 +155,8 @@
     let grant = Grant::Granted { count: 2, after: 7, rest: PLACE };
     assert!((0..2).all(|n| matches!(grant.nth(n), Grant::Granted { .. })));
     assert_eq!(grant.nth(2), Grant::Refused(PLACE));
-    assert_eq!(grant.nth(4), Grant::Refused(Places { after: 100_000, ..PLACE }));
-    assert_eq!(Grant::Refused(PLACE).nth(1), Grant::Refused(Places { after: 80_000, ..PLACE }));
+    assert_eq!(grant.nth(4), Grant::Refused(RetrySchedule { after: 100_000, ..PLACE }));
+    assert_eq!(Grant::Refused(PLACE).nth(1), Grant::Refused(RetrySchedule { after: 80_000, ..PLACE }));
 }
 
 /// A limit may be as low as a configuration says, and a message may say anything.
@@ -164,14 +164,14 @@
 fn no_time_is_too_long_to_be_told() {
     let mut it = used_up();
     let none = Limits { rate: 1e-300, burst: 0.0, margin: 0.0 };
-    let last = Demand::of(u32::MAX, 1, u64::MAX);
+    let last = Demand::prioritised(u32::MAX, 1, u64::MAX);
     for _ in 0..3 {
         let Grant::Refused(places) = it.claim(&Name::from("acme"), none, last, 2 * SECOND) else { panic!() };
-        assert!(matches!(places.nth(u32::MAX, Some(SECOND)), RetryAfter::TooLate { .. }));
-        let mut known = Refusals::default();
-        let mad = Places { after: u64::MAX, step: u64::MAX, reserved: true };
-        known.refused(&Name::from("acme"), urgency(1), mad, SECOND);
-        known.known(&Name::from("acme"), urgency(1), SECOND);
+        assert!(matches!(places.retry_after(u32::MAX, Some(SECOND)), RetryAfter::TooLate { .. }));
+        let mut known = RefusalCache::default();
+        let mad = RetrySchedule { after: u64::MAX, step: u64::MAX, reserved: true };
+        known.insert(&Name::from("acme"), urgency(1), mad, SECOND);
+        known.lookup(&Name::from("acme"), urgency(1), SECOND);
     }
 }
 
@@ -179,20 +179,20 @@
 #[test]
 fn a_refusal_that_comes_too_late_is_known_to_the_next() {
     let acme = Name::from("acme");
-    let mut it = Refusals::default();
-    let late = Places { after: 5 * SECOND, ..PLACE };
-    assert_eq!(it.refused(&acme, urgency(1), late, SECOND), RetryAfter::TooLate { after: 5 * SECOND });
-    assert!(matches!(it.known(&acme, urgency(1), SECOND), Some(RetryAfter::TooLate { .. })));
+    let mut it = RefusalCache::default();
+    let late = RetrySchedule { after: 5 * SECOND, ..PLACE };
+    assert_eq!(it.insert(&acme, urgency(1), late, SECOND), RetryAfter::TooLate { after: 5 * SECOND });
+    assert!(matches!(it.lookup(&acme, urgency(1), SECOND), Some(RetryAfter::TooLate { .. })));
     // The place is still there, for one that can wait for it.
-    let patient = Some(Urgency { priority: 1, left: LONG });
-    assert_eq!(it.known(&acme, patient, SECOND), Some(RetryAfter::Room { after: 5 * SECOND }));
-    assert_eq!(it.known(&acme, patient, SECOND), Some(RetryAfter::Room { after: 5 * SECOND + 20_000 }));
+    let patient = Some(Urgency { priority: 1, remaining: LONG });
+    assert_eq!(it.lookup(&acme, patient, SECOND), Some(RetryAfter::Room { after: 5 * SECOND }));
+    assert_eq!(it.lookup(&acme, patient, SECOND), Some(RetryAfter::Room { after: 5 * SECOND + 20_000 }));
     // It holds as long as the refusal does, and no longer.
-    assert_eq!(it.known(&acme, Some(Urgency { priority: 2, left: LONG }), SECOND), None);
-    let mut it = Refusals::default();
-    it.refused(&acme, urgency(1), late, SECOND);
-    assert_eq!(it.known(&acme, urgency(1), SECOND + 200_000), None);
-    it.refused(&acme, urgency(1), PLACE, SECOND + 200_000);
-    let told = it.known(&acme, urgency(1), SECOND + 200_000).map(RetryAfter::after);
+    assert_eq!(it.lookup(&acme, Some(Urgency { priority: 2, remaining: LONG }), SECOND), None);
+    let mut it = RefusalCache::default();
+    it.insert(&acme, urgency(1), late, SECOND);
+    assert_eq!(it.lookup(&acme, urgency(1), SECOND + 200_000), None);
+    it.insert(&acme, urgency(1), PLACE, SECOND + 200_000);
+    let told = it.lookup(&acme, urgency(1), SECOND + 200_000).map(RetryAfter::delay);
     assert_eq!(told, Some(80_000));
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -6,7 +6,7 @@
         classify::{Stmt, classify},
         detect::{Cause, DetectConfig, Detector, Heard, Opinion},
         place,
-        retry::{Backoff, Budget},
+        retry::{Backoff, RetryBudget},
         route::{Candidate, RouteConfig, Target, choose},
     },
     pondtrack_proto::{Class, GroupSpec, Lsn, Mark, MemberState, MemberView, Name, ServerSpec, Term},
@@ -256,20 +256,20 @@
 
 #[test]
 fn retries_are_a_share_of_successes() {
-    let mut it = Budget::default();
-    let first = (0..1_000).filter(|_| it.spend()).count();
+    let mut it = RetryBudget::default();
+    let first = (0..1_000).filter(|_| it.try_withdraw()).count();
     assert!(first <= 50);
     for _ in 0..100 {
-        it.earn();
+        it.deposit();
     }
-    assert_eq!((0..1_000).filter(|_| it.spend()).count(), 20);
+    assert_eq!((0..1_000).filter(|_| it.try_withdraw()).count(), 20);
 }
 
 #[test]
 fn waits_grow_with_jitter_up_to_their_cap() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut it = Backoff::new(10, 100);
-    let waits: Vec<u64> = (0..8).map(|_| it.next(&mut rng)).collect();
+    let waits: Vec<u64> = (0..8).map(|_| it.next_delay(&mut rng)).collect();
     assert!((5..=10).contains(&waits[0]));
     assert!(waits.iter().skip(5).all(|it| (50..=100).contains(it)), "{waits:?}");
 }
--- a/crates/core/tests/safety.rs
+++ b/crates/core/tests/safety.rs
@@ -7,7 +7,7 @@
         grant::{self, BLOCK, Grants},
         request_key::{self, KeyError, WINDOW_MS},
         switch::{Action, Switch, SwitchState},
-        token::Token,
+        token::SessionToken,
     },
     pondtrack_proto::{Lsn, Mark, Term, TermRecord},
     rstest::rstest,
@@ -181,11 +181,11 @@
 fn keys_are_checked_for_form_and_age() {
     let issued = 1_800_000_000_000u64;
     let key = key_at(issued);
-    assert_eq!(request_key::check(&key, issued + 5), Ok(issued));
-    assert_eq!(request_key::check("order-17", issued), Err(KeyError::Form));
+    assert_eq!(request_key::validate(&key, issued + 5), Ok(issued));
+    assert_eq!(request_key::validate("order-17", issued), Err(KeyError::Malformed));
     let age_ms = WINDOW_MS + 1;
-    assert_eq!(request_key::check(&key, issued + age_ms), Err(KeyError::Old { age_ms }));
-    assert!(matches!(request_key::check(&key, issued - 400_000), Err(KeyError::Ahead { .. })));
+    assert_eq!(request_key::validate(&key, issued + age_ms), Err(KeyError::Expired { age_ms }));
+    assert!(matches!(request_key::validate(&key, issued - 400_000), Err(KeyError::InFuture { .. })));
 }
 
 /// A UUID of version 7 issued at a time.
@@ -197,9 +197,9 @@
 #[test]
 fn tokens_come_back_as_they_were() {
     let settings = vec![("application_name".into(), "depot.7 'x'".into())];
-    let it = Token { group: "parts".into(), mark: Mark::new(3, 77), settings };
-    assert_eq!(Token::parse(&it.render()), Ok(it));
+    let it = SessionToken { group: "parts".into(), mark: Mark::new(3, 77), settings };
+    assert_eq!(SessionToken::parse(&it.encode()), Ok(it));
     for bad in ["", "pt1", "pt2.70.1.1", "pt1.7.1.1", "pt1.70.x.1", "pt1.70.1.1.61", "pt1.é.1.1"] {
-        assert!(Token::parse(bad).is_err(), "{bad}");
+        assert!(SessionToken::parse(bad).is_err(), "{bad}");
     }
 }
--- a/crates/core/tests/urgency.rs
+++ b/crates/core/tests/urgency.rs
@@ -3,7 +3,7 @@
 
 use {
     pondtrack_core::{
-        quota::{Demand, Grant, HOLD, Limiter, Limits, SLOTS, Slots, TERM},
+        quota::{Demand, Grant, Limiter, Limits, MAX_DELAY, MIN_LOAN_DURATION, SLOTS, SlotSet},
         retry_after::RetryAfter,
     },
     pondtrack_proto::Name,
@@ -84,14 +84,14 @@
     }
 
     fn lend(&mut self) {
-        let mut slots = Slots::default();
+        let mut slots = SlotSet::default();
         (0..SLOTS).for_each(|slot| slots.insert(slot));
-        let stamp = Some(self.limiter.stamp(self.now));
+        let stamp = Some(self.limiter.timestamp(self.now));
         self.seq += 1;
         self.lent = self.now;
         for it in 0..LENDERS {
             let name = Name::from(format!("n{it}"));
-            self.limiter.lent(&name, self.seq, slots, 1.0 / LENDERS as f64, stamp, self.now);
+            self.limiter.accept(&name, self.seq, slots, 1.0 / LENDERS as f64, stamp, self.now);
         }
     }
 
@@ -141,19 +141,20 @@
 
     fn claim(&mut self, priority: u8, end: u64, tries: u32) {
         let left = end.saturating_sub(self.now);
-        let demand = if self.urgent { Demand::of(1, priority, left) } else { Demand::plain(1) };
+        let demand =
+            if self.urgent { Demand::prioritised(1, priority, left) } else { Demand::unprioritised(1) };
         let grant = self.limiter.claim(&Name::from("acme"), LIMITS, demand, self.now);
         let it = &mut self.kinds[usize::from(priority)];
         it.back += u32::from(tries > 0);
         match grant {
             Grant::Granted { count, after, .. } => {
-                assert!(after <= HOLD + 1);
+                assert!(after <= MAX_DELAY + 1);
                 it.granted += count;
                 self.granted.push(self.now + after);
             }
             Grant::Refused(places) => {
                 it.again += u32::from(tries > 0);
-                if let RetryAfter::Room { after } = places.nth(0, Some(left)) {
+                if let RetryAfter::Room { after } = places.retry_after(0, Some(left)) {
                     self.told.push((priority, self.now + after));
                     let back = self.now + after + self.rng.random_range(0..JITTER);
                     if tries < RETRIES && back < end {
@@ -175,7 +176,7 @@
         all.sort_unstable();
         for (n, from) in all.iter().enumerate() {
             for (count, to) in all[n..].iter().enumerate() {
-                let window = (to - from + HOLD) as f64 / SECOND as f64;
+                let window = (to - from + MAX_DELAY) as f64 / SECOND as f64;
                 most = most.max((count + 1) as f64 - LIMITS.rate * window - LIMITS.burst);
             }
         }
@@ -234,11 +235,11 @@
         let mut it = World::new(seed, true);
         it.call(load, pattern, PLAYED);
         it.play_until(SECOND + PLAYED);
-        let left = match it.limiter.claim(&Name::from("acme"), LIMITS, Demand::plain(1_000), it.now) {
+        let left = match it.limiter.claim(&Name::from("acme"), LIMITS, Demand::unprioritised(1_000), it.now) {
             Grant::Granted { count, .. } => f64::from(count),
             Grant::Refused(_) => 0.0,
         };
-        let came = LIMITS.rate * (it.now - SECOND + HOLD) as f64 / SECOND as f64;
+        let came = LIMITS.rate * (it.now - SECOND + MAX_DELAY) as f64 / SECOND as f64;
         let all = it.total() + left;
         assert!((came - 1.01..=came).contains(&all), "seed {seed}: {all} of {came}");
         assert!(it.most() <= 0.0, "seed {seed}: {} above the limit in a window", it.most());
@@ -314,7 +315,7 @@
 #[test]
 fn operations_that_arent_told_apart_get_tokens_as_they_come() {
     let mut it = World::new(7, false);
-    let ahead = LIMITS.rate * HOLD as f64 / SECOND as f64;
+    let ahead = LIMITS.rate * MAX_DELAY as f64 / SECOND as f64;
     let (mut level, mut last) = (0.0_f64, it.now);
     for _ in 0..5_000 {
         it.now += it.rng.random_range(0..20_000);
@@ -328,7 +329,7 @@
         level -= right;
         let lacks = if right == 0.0 { 1.0 - ahead - level } else { (-level).max(0.0) };
         let pause = (lacks / LIMITS.rate * SECOND as f64) as u64;
-        match it.limiter.claim(&Name::from("acme"), LIMITS, Demand::plain(count), it.now) {
+        match it.limiter.claim(&Name::from("acme"), LIMITS, Demand::unprioritised(count), it.now) {
             Grant::Granted { count, after, .. } => {
                 assert_eq!(f64::from(count), right);
                 assert!(after.abs_diff(pause) <= 5, "{after}, {pause}");
@@ -350,7 +351,7 @@
         let before = it.kinds;
         // Nothing of the lost one is known; its shares are lent anew once their term is over.
         it.limiter = Limiter::new(2);
-        it.now += TERM;
+        it.now += MIN_LOAN_DURATION;
         it.lend();
         it.call(4.0, Pattern::Evenly, PLAYED / 2);
         it.play();
@@ -377,7 +378,7 @@
             it.lend();
         }
         let priority = (n % 3) as u8;
-        let demand = Demand::of(1, priority, PATIENCE);
+        let demand = Demand::prioritised(1, priority, PATIENCE);
         if let Grant::Granted { count, .. } = it.limiter.claim(&Name::from("acme"), limits, demand, it.now) {
             granted[usize::from(priority)] += count;
         }
--- a/crates/engine/src/document.rs
+++ b/crates/engine/src/document.rs
@@ -13,7 +13,7 @@
         peer::Peer,
         ports::Collection,
     },
-    pondtrack_core::delta::{ChangeLog, Delta, touched},
+    pondtrack_core::delta::{ChangeLog, Delta, changed_keys},
     pondtrack_proto::{Name, Revision},
     serde::{Deserialize, Serialize},
     snafu::Snafu,
@@ -113,16 +113,16 @@
     pub fn note_desired(&self, old: Option<&Desired>, new: &Desired) {
         self.desired_digest.set(None);
         let (routes, groups) = old.map_or((&[][..], &[][..]), |it| (&it.routes, &it.groups));
-        self.routes.borrow_mut().note(new.version, touched(routes, &new.routes, database));
-        self.groups.borrow_mut().note(new.version, touched(groups, &new.groups, group));
-        let organisations = touched(old.map_or(&[], organisations), organisations(new), organisation);
-        self.organisations.borrow_mut().note(new.version, organisations);
+        self.routes.borrow_mut().record(new.version, changed_keys(routes, &new.routes, database));
+        self.groups.borrow_mut().record(new.version, changed_keys(groups, &new.groups, group));
+        let organisations = changed_keys(old.map_or(&[], organisations), organisations(new), organisation);
+        self.organisations.borrow_mut().record(new.version, organisations);
     }
 
     /// A directory takes the place of another.
     pub fn note_directory(&self, old: &[Server], new: &[Server], revision: u64) {
         self.directory_digest.set(None);
-        self.servers.borrow_mut().note(revision, touched(old, new, server));
+        self.servers.borrow_mut().record(revision, changed_keys(old, new, server));
     }
 }
 
@@ -195,15 +195,15 @@
     let revision = inst.revision(Collection::Desired)?;
     let log = &inst.history;
     let logs = (log.routes.borrow(), log.groups.borrow(), log.organisations.borrow());
-    let keys = (logs.0.since(since), logs.1.since(since), logs.2.since(since));
+    let keys = (logs.0.changed_since(since), logs.1.changed_since(since), logs.2.changed_since(since));
     let known = organisations(&it);
     let (since, routes, groups, changed) = match keys {
         (Some(routes), Some(groups), Some(changed)) if since > 0 => {
             let (routes, groups) =
-                (Delta::of_keys(routes, &it.routes, database), Delta::of_keys(groups, &it.groups, group));
-            (since, routes, groups, Delta::of_keys(changed, known, organisation))
+                (Delta::from_keys(routes, &it.routes, database), Delta::from_keys(groups, &it.groups, group));
+            (since, routes, groups, Delta::from_keys(changed, known, organisation))
         }
-        _ => (0, Delta::whole(&it.routes), Delta::whole(&it.groups), Delta::whole(known)),
+        _ => (0, Delta::full(&it.routes), Delta::full(&it.groups), Delta::full(known)),
     };
     let organisations = it.organisations.is_some().then_some(changed);
     let digest =
@@ -224,12 +224,12 @@
 
 fn directory(inst: &Instance, since: u64) -> Option<Document> {
     let revision = inst.revision(Collection::Servers).filter(|it| it.order() > since)?;
-    let keys = (since > 0).then(|| inst.history.servers.borrow().since(since)).flatten();
+    let keys = (since > 0).then(|| inst.history.servers.borrow().changed_since(since)).flatten();
     inst.with_directory(|all| {
         let digest = kept(&inst.history.directory_digest, revision.order(), || digest_of(&all));
         let (since, servers) = match keys {
-            Some(keys) => (since, Delta::of_keys(keys, all, server)),
-            None => (0, Delta::whole(all)),
+            Some(keys) => (since, Delta::from_keys(keys, all, server)),
+            None => (0, Delta::full(all)),
         };
         Some(Document::Directory { since, revision, servers, digest })
     })
--- a/crates/engine/src/limit.rs
+++ b/crates/engine/src/limit.rs
@@ -14,8 +14,11 @@
         statement::Work,
     },
     pondtrack_core::{
-        quota::{Demand, Grant, Lender, Limiter, Limits, Pacing, Places, SLOTS, Stamp, TERM, Urgency, slot},
-        retry_after::{Refusals, RetryAfter},
+        quota::{
+            Demand, Grant, Lender, Limiter, Limits, MIN_LOAN_DURATION, RenewalScheduler, RetrySchedule,
+            SLOTS, Timestamp, Urgency, slot,
+        },
+        retry_after::{RefusalCache, RetryAfter},
     },
     pondtrack_proto::Name,
     std::{
@@ -51,7 +54,7 @@
 const LEFT_STEP: Micros = 50_000;
 
 /// The answer where no limiter is known, and of one that has no share.
-const UNPLACED: Grant = Grant::Refused(Places::at(TERM));
+const UNPLACED: Grant = Grant::Refused(RetrySchedule::at(MIN_LOAN_DURATION));
 
 /// How many instances share the limits: the most that were counted lately.
 #[derive(Clone, Copy, Default)]
@@ -82,13 +85,13 @@
     /// The same if all instances could be reached.
     usual: RefCell<Option<[Name; SLOTS]>>,
     /// The last moments that limiters told, sorted by name.
-    stamps: RefCell<Vec<(Name, Stamp)>>,
+    stamps: RefCell<Vec<(Name, Timestamp)>>,
     /// When limiters are told something.
-    pacing: RefCell<Pacing>,
+    pacing: RefCell<RenewalScheduler>,
     /// Operations that wait, by limiter; a list that is there is being worked on.
     queues: RefCell<Vec<(Name, Vec<Waiting>)>>,
     /// Organisations without room, and what their callers were told.
-    refusals: RefCell<Refusals>,
+    refusals: RefCell<RefusalCache>,
     /// Whether routes differ in priority, in a version of the configuration.
     mixed: Cell<Option<(u64, bool)>>,
     /// Instances as this one has counted them.
@@ -138,7 +141,7 @@
         let Owner::Organisation(organisation) = &work.owner else { return Ok(()) };
         let Some(limits) = limits(inst, organisation) else { return Ok(()) };
         let urgency = self.urgency(work);
-        if let Some(told) = self.refusals.borrow_mut().known(organisation, urgency, inst.now()) {
+        if let Some(told) = self.refusals.borrow_mut().lookup(organisation, urgency, inst.now()) {
             inst.counters.one(Count::ToldBefore);
             return Err(told);
         }
@@ -155,7 +158,7 @@
                 Ok(())
             }
             Grant::Refused(places) => {
-                let told = self.refusals.borrow_mut().refused(organisation, urgency, places, inst.now());
+                let told = self.refusals.borrow_mut().insert(organisation, urgency, places, inst.now());
                 count(inst, places, told);
                 Err(told)
             }
@@ -174,7 +177,7 @@
             }
         };
         let left = micros(work.end.saturating_duration_since(Instant::now())) / LEFT_STEP * LEFT_STEP;
-        mixed.then_some(Urgency { priority: work.route.priority, left })
+        mixed.then_some(Urgency { priority: work.route.priority, remaining: left })
     }
 
     /// Claims an operation where the organisation's limiter is, as far as is known.
@@ -203,7 +206,7 @@
         let grant = |it: &Claim| match limits(inst, &it.organisation) {
             Some(limits) => limiter.claim(&it.organisation, limits, it.demand, now),
             // Which organisations there are may be known here only later.
-            None => Grant::Refused(Places::at(0)),
+            None => Grant::Refused(RetrySchedule::at(0)),
         };
         Told::Granted(claims.iter().map(grant).collect())
     }
@@ -228,7 +231,7 @@
 }
 
 /// Counts a refusal, by its cause.
-fn count(inst: &Instance, places: Places, told: RetryAfter) {
+fn count(inst: &Instance, places: RetrySchedule, told: RetryAfter) {
     inst.counters.one(Count::OverLimit);
     if places.reserved {
         inst.counters.one(Count::Reserved);
--- a/crates/engine/src/limit/claims.rs
+++ b/crates/engine/src/limit/claims.rs
@@ -88,7 +88,7 @@
         let grants = match told {
             Some(Told::Granted(it)) if it.len() == claims.len() => it,
             _ => {
-                limit.pacing.borrow_mut().doubted(&limiter, inst.random(u64::MAX), inst.now());
+                limit.pacing.borrow_mut().record_timeout(&limiter, inst.random(u64::MAX), inst.now());
                 limit.place(&inst);
                 vec![UNPLACED; claims.len()]
             }
--- a/crates/engine/src/limit/lending.rs
+++ b/crates/engine/src/limit/lending.rs
@@ -9,7 +9,7 @@
     },
     pondtrack_core::{
         place::{self, Candidate},
-        quota::{Offer, PERIOD, Reply, Slots, Stamp},
+        quota::{MIN_RENEWAL_INTERVAL, Offer, OfferReply, SlotSet, Timestamp},
     },
     pondtrack_proto::Name,
     std::{rc::Rc, time::Duration},
@@ -38,14 +38,14 @@
         if it.from != inst.settings.name {
             inst.counters.one(Count::Lent);
         }
-        let slots = if leaving { Slots::default() } else { it.slots };
+        let slots = if leaving { SlotSet::default() } else { it.slots };
         let mut limiter = self.limiter.borrow_mut();
-        let offer = Offer { slots, share: it.share, since: it.since, term: it.term };
-        let answer = limiter.offered(&it.from, it.seq, offer, now);
+        let offer = Offer { slots, share: it.share, since: it.since, duration: it.term };
+        let answer = limiter.accept_offer(&it.from, it.seq, offer, now);
         let version = inst.desired().map(|it| it.version);
         let age = inst.unconfirmed().map(|it| (it / 1_000) as u32);
         let count = self.count.get().most as u32;
-        Told::Lent { answer, stamp: limiter.stamp(now), leaving, count, confirmed: version.zip(age) }
+        Told::Lent { answer, stamp: limiter.timestamp(now), leaving, count, confirmed: version.zip(age) }
     }
 
     /// Counts the instances that share the limits, and finds the limiter of each slot.
@@ -56,7 +56,7 @@
         let me = &inst.settings.name;
         let unfit: Vec<Name> = self.pacing.borrow().lost().cloned().collect();
         let silent = now.saturating_sub(self.answered.get());
-        let is_alone = !unfit.is_empty() && silent >= ALONE * self.pacing.borrow().period();
+        let is_alone = !unfit.is_empty() && silent >= ALONE * self.pacing.borrow().interval();
         let fits = |it: &Name| !is_alone && !unfit.contains(it);
         let own = inst.own_candidate();
         let mut all: Vec<Candidate<'_>> = peers.iter().map(|it| inst.candidate(it)).collect();
@@ -75,7 +75,7 @@
         let mut pacing = self.pacing.borrow_mut();
         pacing.set_fleet(before, self.counted(now));
         if let Some(old) = self.limiters.replace(Some(fit.clone())) {
-            pacing.moved(&old, &fit, now);
+            pacing.reassigned(&old, &fit, now);
         }
         *self.usual.borrow_mut() = Some(usual);
     }
@@ -107,8 +107,8 @@
         let stamps = self.stamps.borrow();
         let since = stamps.binary_search_by(|it| it.0.cmp(to)).ok().map(|at| stamps[at].1);
         let share = self.share(inst, now);
-        let term = self.lender.borrow_mut().set_term(self.pacing.borrow().term());
-        let mut slots = Slots::default();
+        let term = self.lender.borrow_mut().raise_duration(self.pacing.borrow().loan_duration());
+        let mut slots = SlotSet::default();
         if since.is_some()
             && share > 0.0
             && let (Some(limiters), Some(usual)) = (&*self.limiters.borrow(), &*self.usual.borrow())
@@ -125,13 +125,13 @@
     }
 
     /// An instance has answered a loan; says whether another message at once makes it whole.
-    fn took(&self, from: &Name, sent: Slots, answer: Reply, stamp: Stamp, now: Micros) -> bool {
-        let back = self.lender.borrow_mut().answered(from, answer);
+    fn took(&self, from: &Name, sent: SlotSet, answer: OfferReply, stamp: Timestamp, now: Micros) -> bool {
+        let back = self.lender.borrow_mut().apply_reply(from, answer);
         if let Some(limiters) = &*self.limiters.borrow() {
             let mut pacing = self.pacing.borrow_mut();
             // The one that has just answered has its next message in its time.
             let slots = limiters.iter().enumerate().filter(|it| back.contains(it.0) && it.1 != from);
-            slots.for_each(|it| pacing.hurry(it.1, now));
+            slots.for_each(|it| pacing.schedule_by(it.1, now));
         }
         let mut stamps = self.stamps.borrow_mut();
         let known = match stamps.binary_search_by(|it| it.0.cmp(from)) {
@@ -147,14 +147,14 @@
     /// How long until the next messages to limiters.
     pub fn pause(&self, inst: &Instance) -> Duration {
         if inst.desired().is_some_and(|it| it.organisations.is_none()) {
-            return Duration::from_micros(PERIOD);
+            return Duration::from_micros(MIN_RENEWAL_INTERVAL);
         }
         let now = inst.now();
         let limiters = self.limiters.borrow();
         let placed = limiters.as_ref().is_some_and(|it| self.lender.borrow().is_placed(it, now));
         let is_settled = placed || limiters.is_some() && self.share(inst, now) == 0.0;
-        let most = if is_settled { Duration::from_micros(PERIOD) } else { FIRST_LOOK };
-        let next = self.pacing.borrow().next(now).map_or(most, Duration::from_micros);
+        let most = if is_settled { Duration::from_micros(MIN_RENEWAL_INTERVAL) } else { FIRST_LOOK };
+        let next = self.pacing.borrow().next_delay(now).map_or(most, Duration::from_micros);
         next.clamp(LEAST_LOOK, most)
     }
 
@@ -164,21 +164,21 @@
         let Some(limiters) = self.limiters.borrow().clone() else { return Vec::new() };
         let lender = self.lender.borrow();
         let mut pacing = self.pacing.borrow_mut();
-        let mut out = lender.misplaced(&limiters, now);
+        let mut out = lender.stale_holders(&limiters, now);
         out.extend(pacing.lost().filter(|it| inst.peer(it).is_some()).cloned());
-        let frees = lender.frees(&limiters, now);
+        let frees = lender.release_times(&limiters, now);
         out.extend(limiters);
         out.retain(|it| *it != inst.settings.name);
         out.sort_unstable();
         out.dedup();
-        frees.iter().for_each(|it| pacing.hurry(&it.0, it.1));
-        pacing.due(&out, now)
+        frees.iter().for_each(|it| pacing.schedule_by(&it.0, it.1));
+        pacing.take_due(&out, now)
     }
 
     /// An instance can't be a limiter for now.
     fn missed(&self, inst: &Instance, name: &Name) {
         inst.counters.one(Count::LimiterLost);
-        self.pacing.borrow_mut().missed(name, inst.random(u64::MAX), inst.now());
+        self.pacing.borrow_mut().record_failure(name, inst.random(u64::MAX), inst.now());
     }
 }
 
@@ -191,8 +191,8 @@
             continue;
         }
         inst.limit.place(&inst);
-        inst.limit.limiter.borrow_mut().trim(inst.now());
-        inst.limit.refusals.borrow_mut().trim(inst.now());
+        inst.limit.limiter.borrow_mut().evict_idle(inst.now());
+        inst.limit.refusals.borrow_mut().evict_expired(inst.now());
         lend_here(&inst);
         for name in inst.limit.audience(&inst) {
             tokio::task::spawn_local(lend(inst.clone(), name));
@@ -220,7 +220,7 @@
         let Some(peer) = inst.peer(&to) else { break };
         let lending = limit.lending(&inst, &to);
         let (sent, asked) = (lending.slots, inst.now());
-        let patience = Duration::from_micros(limit.pacing.borrow().patience());
+        let patience = Duration::from_micros(limit.pacing.borrow().timeout());
         match timeout(patience, peer.ask(&inst, Ask::Lend(lending))).await {
             Ok(Told::Lent { answer, stamp, leaving, count, confirmed }) => {
                 limit.answered.set(inst.now());
@@ -231,7 +231,7 @@
                     limit.missed(&inst, &to);
                     break;
                 }
-                let was_lost = limit.pacing.borrow_mut().answered(&to, inst.now());
+                let was_lost = limit.pacing.borrow_mut().record_reply(&to, inst.now());
                 if was_lost {
                     limit.place(&inst);
                 }
@@ -245,7 +245,7 @@
             }
         }
     }
-    limit.pacing.borrow_mut().ended(&to);
+    limit.pacing.borrow_mut().complete(&to);
 }
 
 /// Another instance has told, after it was asked, how long ago its configuration was the newest.
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -15,7 +15,7 @@
     bytes::{Bytes, BytesMut},
     pondtrack_core::{
         capacity::Capacity,
-        quota::{Demand, Grant, Reply, Slots, Stamp},
+        quota::{Demand, Grant, OfferReply, SlotSet, Timestamp},
         turn::Rank,
     },
     pondtrack_proto::{Incarnation, Mark, Name, Revision},
@@ -135,11 +135,11 @@
     /// Rises with each message.
     pub seq: u64,
     /// The slots whose shares are lent.
-    pub slots: Slots,
+    pub slots: SlotSet,
     /// The share of each limit.
     pub share: f64,
     /// The moment that the other one told last, from which the term counts.
-    pub since: Option<Stamp>,
+    pub since: Option<Timestamp>,
     /// The term, in microseconds.
     pub term: u64,
 }
@@ -313,9 +313,9 @@
     /// The other one's shares are used here, and the present moment.
     Lent {
         /// The slots, and whether the message was ignored.
-        answer: Reply,
+        answer: OfferReply,
         /// The moment.
-        stamp: Stamp,
+        stamp: Timestamp,
         /// Whether the instance leaves, so that others should be asked.
         leaving: bool,
         /// How many instances share the limits, as that one has counted them.
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -530,7 +530,7 @@
 
 /// What a caller is told whose organisation has used its quota.
 fn over_limit(it: RetryAfter) -> Answer {
-    let ms = (it.after() / 1_000).max(1);
+    let ms = (it.delay() / 1_000).max(1);
     let why = match it {
         RetryAfter::Room { .. } => format!("the organisation has used its quota; come back in {ms} ms"),
         RetryAfter::TooLate { .. } => {
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -360,7 +360,7 @@
 
     /// Waits before another try.
     pub async fn pause(&self, backoff: &mut Backoff) {
-        let ms = backoff.next(&mut *self.inst.rng());
+        let ms = backoff.next_delay(&mut *self.inst.rng());
         sleep_until((Instant::now() + Duration::from_millis(ms)).min(self.end)).await;
     }
 }
--- a/crates/pondtrackd/src/control.rs
+++ b/crates/pondtrackd/src/control.rs
@@ -207,7 +207,7 @@
 }
 
 async fn explain(node: &Rc<Node>, subject: Option<Name>) -> Vec<Decision> {
-    let mut out = node.journal.borrow().about(subject.as_ref());
+    let mut out = node.journal.borrow().by_subject(subject.as_ref());
     out.extend(ask_all::<Vec<Decision>>(node, Question::Explain { subject }).await.into_iter().flatten());
     out.sort_by_key(|it| it.at_ms);
     out
--- a/crates/pondtrackd/src/entry/own.rs
+++ b/crates/pondtrackd/src/entry/own.rs
@@ -1,7 +1,7 @@
 //! Pondtrack's own settings, which a caller sets and shows like any other.
 
 use {
-    pondtrack_core::{classify::OWN, token::Token},
+    pondtrack_core::{classify::OWN, token::SessionToken},
     pondtrack_edge::answer::SqlError,
     pondtrack_proto::Name,
 };
@@ -23,7 +23,7 @@
     /// The time for each request; none for the instance's.
     Timeout(Option<u32>),
     /// What another session of the caller had seen.
-    Token(Box<Token>),
+    Token(Box<SessionToken>),
 }
 
 /// Reads a change; `value` is none for the default.
@@ -45,7 +45,7 @@
         ("request_key", None | Some("")) => Ok(Change::RequestKey(None)),
         ("request_key", Some(it)) => Ok(Change::RequestKey(Some(it.into()))),
         ("token", Some(it)) => {
-            let token = Token::parse(it).map_err(|e| bad(&e.to_string()))?;
+            let token = SessionToken::parse(it).map_err(|e| bad(&e.to_string()))?;
             Ok(Change::Token(Box::new(token)))
         }
         _ => {
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -16,7 +16,7 @@
     pondtrack_core::{
         classify::Stmt,
         life::{self, SessionEvent, SessionState},
-        token::Token,
+        token::SessionToken,
     },
     pondtrack_edge::{
         EdgeError, FrameReader, Frames,
@@ -290,7 +290,7 @@
 
     fn serve_show(&mut self, batch: &Batch, name: &str) -> BytesMut {
         let value = match name {
-            "token" => self.token().render(),
+            "token" => self.token().encode(),
             "mark" => self.mark.to_string(),
             "instance" => self.node.name.to_string(),
             "home" => self.home.as_ref().map_or(String::new(), Name::to_string),
@@ -502,8 +502,8 @@
     }
 
     /// What the session carries to another instance.
-    fn token(&self) -> Token {
-        Token { group: self.group.clone(), mark: self.mark, settings: self.settings.clone() }
+    fn token(&self) -> SessionToken {
+        SessionToken { group: self.group.clone(), mark: self.mark, settings: self.settings.clone() }
     }
 
     fn txn(&self) -> TxnState {
@@ -552,7 +552,7 @@
     }
 
     async fn say_leaving(&mut self, write: &mut OwnedWriteHalf) {
-        let token = self.token().render();
+        let token = self.token().encode();
         let hint = format!("connect again with options '-c pondtrack.token={token}' to go on where you were");
         let mut out = BytesMut::new();
         SqlError::fatal("57P01", "this instance is leaving").hint(hint).put(&mut out);
--- a/crates/pondtrackd/src/home/exec/mod.rs
+++ b/crates/pondtrackd/src/home/exec/mod.rs
@@ -155,7 +155,7 @@
     };
     match out {
         Ok(it) => {
-            home.budget.borrow_mut().earn();
+            home.budget.borrow_mut().deposit();
             if req.class == Class::Read {
                 count_read(node, it.served);
             }
@@ -180,11 +180,11 @@
 impl Task<'_> {
     /// Takes a retry from the budget and waits a little, unless another server can be asked `at_once`.
     async fn may_retry(&self, backoff: &mut Backoff, at_once: bool) -> bool {
-        if !self.home.budget.borrow_mut().spend() {
+        if !self.home.budget.borrow_mut().try_withdraw() {
             return false;
         }
         if !at_once {
-            let ms = self.node.with_rng(|rng| backoff.next(rng));
+            let ms = self.node.with_rng(|rng| backoff.next_delay(rng));
             let changed = self.home.changed.notified();
             let _ = timeout(Duration::from_millis(ms).min(self.left()), changed).await;
         }
--- a/crates/pondtrackd/src/home/exec/once.rs
+++ b/crates/pondtrackd/src/home/exec/once.rs
@@ -74,8 +74,8 @@
         let mut tail = BytesMut::new();
         upstream::put_query("ROLLBACK", &mut tail);
         let text = match code {
-            keyed::DUPLICATE => request_key::find(key),
-            keyed::NO_TABLE => request_key::create(),
+            keyed::DUPLICATE => request_key::select_sql(key),
+            keyed::NO_TABLE => request_key::create_table_sql(),
             _ => {
                 let reason = format!("the request ledger refused the key with {code}").into();
                 return Err(Fail::Again { reason, server: None });
@@ -119,7 +119,7 @@
             Err(e) => return (Err(e), None),
         };
         let mut enter = BytesMut::new();
-        upstream::put_query(&request_key::enter(key, issued, TRANSACTION), &mut enter);
+        upstream::put_query(&request_key::insert_sql(key, issued, TRANSACTION), &mut enter);
         let entered = match self.run_tail(&mut lease, &enter, 1).await {
             Ok(it) => it,
             Err(_) => {
--- a/crates/pondtrackd/src/home/exec/resolve.rs
+++ b/crates/pondtrackd/src/home/exec/resolve.rs
@@ -96,7 +96,7 @@
         let (server, mut lease) =
             self.lend_primary().await.map_err(|_| Fail::Broken { reason: reason.clone(), before })?;
         let mut find = BytesMut::new();
-        upstream::put_query(&request_key::find(&key), &mut find);
+        upstream::put_query(&request_key::select_sql(&key), &mut find);
         let it = self.run_tail(&mut lease, &find, 1).await?;
         let found = keyed::recorded(&it.answer).is_some_and(|it| it.tag == "COMMIT");
         let later = it.after.map(|p| p.term) > before.map(|p| p.term) && before.is_some();
--- a/crates/pondtrackd/src/home/exec/transaction.rs
+++ b/crates/pondtrackd/src/home/exec/transaction.rs
@@ -24,7 +24,7 @@
         let commits = self.req.class == Class::Commit;
         let mut head = BytesMut::new();
         if let Some(key) = pinned.key.as_ref().filter(|_| commits) {
-            upstream::put_query(&request_key::record(key, "COMMIT"), &mut head);
+            upstream::put_query(&request_key::record_outcome_sql(key, "COMMIT"), &mut head);
         }
         let heads: &[&BytesMut] = if head.is_empty() { &[] } else { &[&head] };
         let order = Some(Order::Position);
--- a/crates/pondtrackd/src/home/keyed.rs
+++ b/crates/pondtrackd/src/home/keyed.rs
@@ -34,20 +34,20 @@
 
 /// Checks a request's key; hands back its time of issue.
 pub fn check(key: &Name) -> Result<u64, Fail> {
-    request_key::check(key, epoch_ms())
+    request_key::validate(key, epoch_ms())
         .map_err(|e| Fail::Outcome(Outcome::Key { reason: e.to_string().into() }))
 }
 
 /// The queries around a keyed batch: before it, with the number of their answers.
 pub fn before(key: &Name, issued: u64, frames: &[u8], out: &mut BytesMut) -> usize {
     upstream::put_query("BEGIN", out);
-    upstream::put_query(&request_key::enter(key, issued, &request_key::fingerprint(frames)), out);
+    upstream::put_query(&request_key::insert_sql(key, issued, &request_key::fingerprint(frames)), out);
     2
 }
 
 /// The queries that record the outcome and make it last.
 pub fn after(key: &Name, tag: &str, out: &mut BytesMut) -> usize {
-    upstream::put_query(&request_key::record(key, tag), out);
+    upstream::put_query(&request_key::record_outcome_sql(key, tag), out);
     upstream::put_query("COMMIT", out);
     2
 }
@@ -62,7 +62,7 @@
     text.unwrap_or_default()
 }
 
-/// Reads the answer to [`request_key::find`].
+/// Reads the answer to [`request_key::select_sql`].
 pub fn recorded(answer: &Answer) -> Option<Recorded> {
     let (_, range) = Frames::new(&answer.frames).find(|(tag, _)| *tag == b'D')?;
     let cells = columns(&answer.frames[range]);
--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -27,7 +27,7 @@
         gate::{Gate, Ticket, Verdict},
         grant::Grants,
         place,
-        retry::Budget,
+        retry::RetryBudget,
         route::Candidate,
     },
     pondtrack_edge::{
@@ -136,7 +136,7 @@
     /// Set while a block of terms is being asked for.
     pub asking: Cell<bool>,
     /// Retries allowed.
-    pub budget: RefCell<Budget>,
+    pub budget: RefCell<RetryBudget>,
     /// Until when work for the primary is held for a planned switch.
     pub held: Cell<Option<Time>>,
     /// Set while a change of primary is under way here.
--- a/crates/pondtrackd/src/home/monitor.rs
+++ b/crates/pondtrackd/src/home/monitor.rs
@@ -45,7 +45,7 @@
             }
             Err(e) => {
                 note(&node, &home, server, &e);
-                let wait = node.with_rng(|rng| backoff.next(rng));
+                let wait = node.with_rng(|rng| backoff.next_delay(rng));
                 sleep(Duration::from_millis(wait)).await;
             }
         }
--- a/crates/pondtrackd/src/home/pool.rs
+++ b/crates/pondtrackd/src/home/pool.rs
@@ -247,7 +247,7 @@
                 Ok(it) => return Ok(it),
                 Err(EdgeError::Refused { code, .. }) if code == "53300" && node.now() < deadline => {
                     // Another home has not let go of its connections yet; they come free shortly.
-                    let wait = node.with_rng(|rng| backoff.next(rng));
+                    let wait = node.with_rng(|rng| backoff.next_delay(rng));
                     sleep(Duration::from_millis(wait)).await;
                 }
                 Err(e) => {
--- a/crates/pondtrackd/src/keeper.rs
+++ b/crates/pondtrackd/src/keeper.rs
@@ -65,7 +65,7 @@
 }
 
 async fn pause(node: &Node, backoff: &mut Backoff) {
-    let ms = node.with_rng(|rng| backoff.next(rng));
+    let ms = node.with_rng(|rng| backoff.next_delay(rng));
     sleep(Duration::from_millis(ms)).await;
 }
 
--- a/crates/pondtrackd/src/node.rs
+++ b/crates/pondtrackd/src/node.rs
@@ -11,7 +11,7 @@
     pondtrack_core::{
         Time,
         classify::Classifier,
-        journal::Journal,
+        decision_log::DecisionLog,
         member::{MemberConfig, Members},
         place,
     },
@@ -48,7 +48,7 @@
     /// Callers' sessions.
     pub sessions: Sessions,
     /// Recorded decisions.
-    pub journal: RefCell<Journal>,
+    pub journal: RefCell<DecisionLog>,
     /// Classified texts.
     pub classifier: RefCell<Classifier>,
     /// Counters.
--- a/crates/pondtrackd/src/peers.rs
+++ b/crates/pondtrackd/src/peers.rs
@@ -451,7 +451,7 @@
     let json = match question {
         Question::Status => serde_json::to_string(&crate::control::report(node)),
         Question::Explain { subject } => {
-            serde_json::to_string(&node.journal.borrow().about(subject.as_ref()))
+            serde_json::to_string(&node.journal.borrow().by_subject(subject.as_ref()))
         }
     };
     json.unwrap_or_default()
--- a/crates/pondtrackd/src/run.rs
+++ b/crates/pondtrackd/src/run.rs
@@ -144,7 +144,7 @@
     }
     loop {
         let now = node.now();
-        for it in timers.take(now) {
+        for it in timers.take_due(now) {
             match it {
                 Part::Members => gossip::tick(&node),
                 Part::Grants => keeper::replenish_all(&node),
@@ -153,7 +153,7 @@
             }
             timers.set(it, now + it.period(&node.settings));
         }
-        let next = timers.next().unwrap_or(now + 1_000);
+        let next = timers.next_deadline().unwrap_or(now + 1_000);
         sleep(Duration::from_millis(next.saturating_sub(node.now()).max(1))).await;
     }
 }
--- a/crates/pondtrackd/src/settings.rs
+++ b/crates/pondtrackd/src/settings.rs
@@ -3,7 +3,7 @@
 use {
     crate::hosted::{Hosted, hosted_parser},
     bpaf::{Bpaf, OptionParser, Parser},
-    pondtrack_core::{detect::DetectConfig, spread::Choice},
+    pondtrack_core::{detect::DetectConfig, gossip::PeerSelection},
     pondtrack_proto::{Name, group::is_name},
     snafu::Snafu,
     std::net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -99,8 +99,8 @@
     #[bpaf(long, env("PONDTRACK_REPLICA_READS"), argument("on|off"), fallback(Switch::On))]
     pub replica_reads: Switch,
     /// How peers for news are chosen: uniform or groups
-    #[bpaf(long, env("PONDTRACK_SPREAD"), argument("CHOICE"), fallback(Choice::Uniform))]
-    pub spread: Choice,
+    #[bpaf(long, env("PONDTRACK_SPREAD"), argument("CHOICE"), fallback(PeerSelection::Uniform))]
+    pub spread: PeerSelection,
     /// What is logged, such as info or debug, as flexi_logger reads it
     #[bpaf(long, env("PONDTRACK_LOG"), argument("SPEC"), fallback("info, jsonrpsee=warn, jsonrpsee_server=warn, hyper_util=warn, reqwest=warn".to_owned()))]
     pub log: String,
--- a/crates/pondtrackd/tests/startup.rs
+++ b/crates/pondtrackd/tests/startup.rs
@@ -1,7 +1,7 @@
 //! Startup packets, settings and tokens of any content: no panic, a clear error.
 
 use {
-    pondtrack_core::{classify::classify, token::Token},
+    pondtrack_core::{classify::classify, token::SessionToken},
     pondtrackd::entry::{
         own,
         startup::{options, parameters},
@@ -34,7 +34,7 @@
     #[test]
     fn any_text(text in "\\PC{0,60}") {
         let _ = options(&text);
-        let _ = Token::parse(&text);
+        let _ = SessionToken::parse(&text);
         let _ = classify(&text);
         for name in ["max_age", "timeout", "request_key", "token", "other"] {
             let _ = own::parse(&format!("pondtrack.{name}"), Some(&text));
