--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,70 +1,72 @@
-//! Whether the server that calls itself the primary of a term holds what the term's replicas have received.
+//! Detection of a primary that has lost its log.
 //!
-//! Entries of a term come from its primary alone, so a primary's log is never shorter than what a replica had
-//! received of the term before the primary was asked. One that is has lost its log: reads there would show nothing, and replicas
-//! whose longer logs came from its earlier run would seem to hold its commits.
+//! Entries of a term come from the term's primary alone. When a primary is queried, its log is therefore at least as long
+//! as what any replica had received of the term before the query. A primary with a shorter log has lost it: reads from it
+//! would return nothing, and replicas whose longer logs came from its earlier run would appear to hold its
+//! commits.
 
 use {crate::Time, pondtrack_proto::Lsn};
 
-/// What a claim is worth.
+/// Assessment of a server's claim to be the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// Nothing contradicts the claim.
     Holds,
-    /// A replica has more than the claimant showed when it was asked earlier: it has to be asked again.
+    /// A replica has received more than the claimant reported in an earlier response: the claimant must be queried again.
     Open,
-    /// It held less than a replica had received before it was asked.
+    /// The claimant's log was shorter than what a replica had received before the claimant was queried.
     Lacks,
 }
 
-/// The claim to lead a term.
+/// A server's claim to be the primary of a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// Who makes it.
+    /// The server that makes the claim.
     claimant: Option<usize>,
-    /// When the claimant was last asked, and what it held.
-    shown: Option<(Time, Lsn)>,
-    /// The most that a replica has received of the term, and when that was learned.
-    reached: Option<(Time, Lsn)>,
-    /// Whether the claimant has shown as much as a replica had.
+    /// The time of the claimant's last query and the position it reported.
+    reported: Option<(Time, Lsn)>,
+    /// The highest position of the term received by any replica, and the time at which it became known.
+    replicated: Option<(Time, Lsn)>,
+    /// True if the claimant has reported at least as much as a replica had received.
     proven: bool,
-    /// Whether it has lost its log: what it writes since grows over what it lost, under the same positions.
+    /// True if the claimant has lost its log. This is permanent, because its new entries reuse the positions of the lost
+    /// ones.
     lost: bool,
 }
 
 impl Claim {
-    /// A server that calls itself the primary held `at` when it was asked at `asked`.
+    /// Records that a server that reports itself as primary was at position `at` in the response to a query sent at `asked`.
     pub fn shows(&mut self, server: usize, at: Lsn, asked: Time) {
         if self.claimant != Some(server) {
-            *self = Claim { claimant: Some(server), reached: self.reached, ..Claim::default() };
+            *self = Claim { claimant: Some(server), replicated: self.replicated, ..Claim::default() };
         }
-        // Answers on several connections overtake each other.
-        if self.shown.is_none_or(|it| it.0 <= asked) {
-            self.shown = Some((asked, at));
-            self.proven |= self.reached.is_some_and(|it| it.1 <= at);
-            self.lost |= self.reached.is_some_and(|it| it.1 > at && it.0 <= asked);
+        // Responses on several connections may arrive out of order.
+        if self.reported.is_none_or(|reported| reported.0 <= asked) {
+            self.reported = Some((asked, at));
+            self.proven |= self.replicated.is_some_and(|replicated| replicated.1 <= at);
+            self.lost |= self.replicated.is_some_and(|replicated| replicated.1 > at && replicated.0 <= asked);
         }
     }
 
-    /// A replica had received entries of the term up to `at`, as was learned at `now`.
+    /// Records that a replica has received entries of the term up to `at`, which became known at `now`.
     pub fn received(&mut self, at: Lsn, now: Time) {
-        if self.reached.is_none_or(|it| it.1 < at) {
-            self.reached = Some((now, at));
+        if self.replicated.is_none_or(|replicated| replicated.1 < at) {
+            self.replicated = Some((now, at));
         }
-        self.proven |= self.shown.is_some_and(|it| at <= it.1);
+        self.proven |= self.reported.is_some_and(|reported| at <= reported.1);
     }
 
-    /// Who makes it.
+    /// Returns the server that makes the claim.
     pub fn claimant(&self) -> Option<usize> {
         self.claimant
     }
 
-    /// What the claim is worth.
+    /// Returns the assessment of the claim.
     pub fn verdict(&self) -> Verdict {
-        match (self.shown, self.reached) {
+        match (self.reported, self.replicated) {
             _ if self.lost => Verdict::Lacks,
-            // What a proven one writes reaches replicas before it is asked again.
-            (Some((_, held)), Some((_, reached))) if held < reached && !self.proven => Verdict::Open,
+            // A proven claimant's new entries may reach replicas before the claimant is queried again.
+            (Some((_, held)), Some((_, received))) if held < received && !self.proven => Verdict::Open,
             _ => Verdict::Holds,
         }
     }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,48 +1,50 @@
-//! Who leads a term whose primary gives no answer.
+//! The server that leads a term while the term's primary is unreachable.
 //!
-//! A server that doesn't answer may be the primary, or a replica that confirms another one's commits. The two are told
-//! apart by who led the term: as it was recorded when the primary was seen, or, where no promotion was ever ordered,
-//! by the directory, as only a promotion makes what a server says of its role out of date.
+//! An unreachable server may be the primary, or a replica that confirms another server's commits. The two are told
+//! apart by the leader of the term: either the one that was recorded while the primary was reachable, or, if no promotion
+//! was ever ordered in the group, the one listed in the directory. Only a promotion makes a server's own statement
+//! of its role outdated.
 
 use {
     pondtrack_proto::{Name, Term},
     serde::{Deserialize, Serialize},
 };
 
-/// What was recorded of a group's primary.
+/// The recorded leader of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leader {
     /// The term.
     pub term: Term,
-    /// The server that led it; none where the term's primary was never seen.
+    /// The server that led the term; none if the term's primary was never seen.
     pub server: Option<Name>,
 }
 
 impl Leader {
-    /// Whether `other` tells more: of a later term, or who led the same one.
+    /// Returns true if `other` supersedes this record: it is of a later term, or names the leader of the same term
+    /// where this record doesn't.
     pub fn is_older(&self, other: &Leader) -> bool {
         (self.term, self.server.is_some()) < (other.term, other.server.is_some())
     }
 }
 
-/// What is known of a group whose primary gives no answer.
+/// The facts known about a group whose primary is unreachable.
 #[derive(Clone, Copy, Debug)]
 pub struct Evidence<'a> {
-    /// The newest term that any server showed.
+    /// The newest term reported by any server.
     pub term: Term,
-    /// What was recorded.
+    /// The recorded leader.
     pub record: Option<&'a Leader>,
-    /// Whether every promotion so far was ordered after its group had a record.
+    /// True if every promotion so far was ordered after the leader of its group had been recorded.
     pub complete: bool,
-    /// Servers of the group that call themselves the primary in the directory.
+    /// Servers of the group that are listed as the primary in the directory.
     pub claims: &'a [Name],
 }
 
 impl Evidence<'_> {
-    /// The server that leads the term, if that is proved.
+    /// Returns the server that leads the term; none if that isn't proven.
     pub fn leader(&self) -> Option<&Name> {
         match (self.record, self.claims) {
-            (Some(it), _) if it.term == self.term => it.server.as_ref(),
+            (Some(record), _) if record.term == self.term => record.server.as_ref(),
             (None, [claim]) if self.complete => Some(claim),
             _ => None,
         }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,14 +1,15 @@
-//! The right to give orders: one instance has it at a time.
+//! The failover lease: at most one instance at a time may order fences and promotions.
 //!
-//! It is a record in the store, changed only conditionally. The holder acts for [`HOLD`], counted from the sending of its
-//! last renewal that succeeded; whoever takes over first sees the record unchanged for [`TAKE_AFTER`] on its own clock.
-//! Clocks are not compared. A holder that was paused finds its time over.
+//! The lease is a record in the store that is only changed by conditional writes. The holder may act for [`HOLD`],
+//! counted from the time at which it sent its last successful renewal. Another instance takes over once it has seen the
+//! record unchanged for [`TAKE_AFTER`] on its own clock, so clocks are never compared between instances. A holder that was
+//! paused finds its lease expired.
 //!
-//! The store may come back from an older copy, which begins a new era: records go back, also the lease's, and revisions
-//! are given out again. A record therefore says in which era it was written; one of an earlier era is nobody's. It is
-//! taken once the era has been known for [`TAKE_AFTER`], as an earlier holder may act for [`HOLD`] without knowing of
-//! it. That holder itself waits only for its own orders. Fencing tokens hold the era in their upper half, so that none is given out
-//! twice, whatever the copy says.
+//! The store may be restored from an older copy, which starts a new era: records revert, the lease's among them, and
+//! revisions are assigned a second time. Each record therefore carries the era in which it was written, and a record of an
+//! earlier era has no holder. Such a record may be taken over once the new era has been known for [`TAKE_AFTER`], as
+//! a holder that is unaware of the new era may act for [`HOLD`]. The earlier holder itself only waits until its own orders
+//! have ended. Fencing tokens carry the era in their upper half, so no token is issued twice, whatever the copy contains.
 
 use {
     crate::Time,
@@ -16,129 +17,130 @@
     serde::{Deserialize, Serialize},
 };
 
-/// How long the holder acts after it sent a renewal, in microseconds. Short, so that a holder that is cut off is replaced
-/// within seconds; a store that is slow answers within 400 ms.
+/// Time for which the holder may act after sending a renewal, in microseconds. It is short, so that a holder that is
+/// partitioned from the store is replaced within seconds; a slow store answers within 400 ms.
 pub const HOLD: Time = 1_500_000;
-/// How long a record has to stand unchanged before another instance takes it, in microseconds: the holder's time, the time
-/// an order may be under way (500 ms), and some room for clocks that run apart.
+/// Time for which a record must remain unchanged before another instance takes it over, in microseconds. It covers [`HOLD`],
+/// the time for which an order may be in flight (500 ms), and a margin for clock drift.
 pub const TAKE_AFTER: Time = 2_400_000;
-/// After its start, a process that finds its own name in the record waits for so long, in microseconds: an order of the
-/// process before it may be under way. So does the holder of an earlier era, for its own orders.
-const OWN_AFTER: Time = 800_000;
-/// Renewals without an answer that are remembered.
-const SENT: usize = 8;
-/// Bits of a fencing token that count within an era.
+/// Time after its start for which a process that finds its own name in the record waits, in microseconds, because an
+/// order of the previous process may still be in flight. The holder of an earlier era waits as long for its own orders.
+const REACQUIRE_DELAY: Time = 800_000;
+/// Maximum number of unanswered writes that are remembered.
+const MAX_PENDING: usize = 8;
+/// Number of low bits of a fencing token that count changes of holder within an era.
 const TOKEN_BITS: u32 = 32;
 
-/// Who may give orders, as the store holds it.
+/// The lease as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The instance; empty when it was given up.
+    /// The instance that holds the lease; empty after a release.
     pub holder: Name,
-    /// The fencing token: rises with each change of holder.
+    /// The fencing token, which increases with each change of holder.
     pub token: u64,
-    /// Tells writes apart, so that a lost answer is recognised.
+    /// A random number per write, by which a write is recognised after its answer was lost.
     pub nonce: u64,
-    /// Whether every holder so far recorded who led a group before its first promotion. A version that doesn't know of it
-    /// drops it.
+    /// True if every holder so far recorded a group's leader before ordering the first promotion in the group. Versions
+    /// that don't know the field drop it.
     #[serde(default)]
     pub complete: bool,
-    /// The era of the store in which it was written. A version that doesn't know of it drops it.
+    /// The era of the store in which the record was written. Versions that don't know the field drop it.
     #[serde(default)]
     pub era: u64,
 }
 
-/// The right as this instance has it.
+/// The lease while held by this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Held {
     /// The fencing token.
     pub token: u64,
-    /// When it ends, in microseconds of the instance's clock.
+    /// Expiry time, in microseconds of the instance's clock.
     pub until: Time,
-    /// As in the record.
+    /// The same as [`LeaseRecord::complete`].
     pub complete: bool,
-    /// The era of the store in which it was granted.
+    /// The era of the store in which the lease was granted.
     pub era: u64,
 }
 
 /// A conditional write of the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// What is written.
+    /// The new record.
     pub record: LeaseRecord,
-    /// The revision that it replaces; none if there must be no record.
+    /// The revision to replace; none if there must be no record.
     pub revision: Option<Revision>,
 }
 
-/// What is known of the record.
+/// A revision of the record that was read from the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Seen {
+struct Observed {
     record: LeaseRecord,
     revision: Revision,
-    /// When this revision was first seen.
+    /// The time at which this revision was first seen.
     since: Time,
-    /// When the question was sent that last showed it.
+    /// The time at which the last read that returned this revision was sent.
     read: Time,
 }
 
-/// What the last reading showed.
+/// Result of the last read of the record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Reading {
-    /// There was none in this era.
+enum Observation {
+    /// The record hasn't been read in this era.
     Unread,
-    /// There is no record, and since when that is known.
+    /// There is no record; `since` is when that was first seen, `read` when the last such read was sent.
     Absent { since: Time, read: Time },
-    /// A record.
-    Found(Seen),
+    /// There is a record.
+    Found(Observed),
 }
 
-/// The work of keeping, or waiting for, the right. Times are microseconds of the instance's monotonic clock.
+/// State machine that acquires and renews the lease for one instance. Times are microseconds of the instance's monotonic
+/// clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    me: Name,
-    began: Time,
-    reading: Reading,
-    /// Nonces of writes and when they were sent.
-    sent: Vec<(u64, Time)>,
+    name: Name,
+    started_at: Time,
+    observation: Observation,
+    /// Nonces of recent writes and the times at which they were sent.
+    pending: Vec<(u64, Time)>,
     held: Option<Held>,
-    /// The store's era, and when it was first seen.
+    /// The store's era and the time at which it was first seen.
     era: Option<(u64, Time)>,
-    /// Whether nothing was lost before: the store is new, or its first era goes on.
-    first: bool,
-    /// Whether this instance had the right when the era began, which nobody has taken since.
-    carried: bool,
-    /// Whether the record was there and is no more: who held it before isn't known any longer.
-    gone: bool,
-    /// The highest token that was seen.
-    top: u64,
+    /// True if the store has lost no records: it is new, or still in its first era.
+    intact: bool,
+    /// True if this instance held the lease when the current era began and no other instance has taken it since.
+    carried_over: bool,
+    /// True if the record disappeared, so that earlier holders are no longer known.
+    record_lost: bool,
+    /// The highest token seen.
+    max_token: u64,
 }
 
 impl Lease {
-    /// An instance that has just started; `first` says that there was no instance before it.
-    pub fn new(me: Name, first: bool, now: Time) -> Lease {
+    /// Creates the state of an instance that has just started; `first` is true if no instance ran before it.
+    pub fn new(name: Name, first: bool, now: Time) -> Lease {
         Lease {
-            me,
-            began: now,
-            reading: Reading::Unread,
-            sent: Vec::new(),
+            name,
+            started_at: now,
+            observation: Observation::Unread,
+            pending: Vec::new(),
             held: None,
             era: None,
-            first,
-            carried: false,
-            gone: false,
-            top: 0,
+            intact: first,
+            carried_over: false,
+            record_lost: false,
+            max_token: 0,
         }
     }
 
-    /// The right, while this instance is the holder as far as it knows; its time may be over.
+    /// Returns the lease if this instance is the holder as far as is known here; the lease may have expired.
     pub fn held(&self) -> Option<Held> {
         self.held
     }
 
-    /// The store's era, as some answer told it; says whether it is later than the one known before.
+    /// Records the store's era as given by one of its answers. Returns true if the era is later than the one known before.
     pub fn note_era(&mut self, era: u64, now: Time) -> bool {
         let Some((known, _)) = self.era else {
-            self.first |= era == 0;
+            self.intact |= era == 0;
             self.era = Some((era, now));
             return false;
         };
@@ -146,126 +148,131 @@
             return false;
         }
         self.era = Some((era, now));
-        self.first = false;
-        self.carried = self.held.take().is_some_and(|it| now < it.until);
-        self.reading = Reading::Unread;
+        self.intact = false;
+        self.carried_over = self.held.take().is_some_and(|held| now < held.until);
+        self.observation = Observation::Unread;
         true
     }
 
     fn era(&self) -> u64 {
-        self.era.map_or(0, |it| it.0)
+        self.era.map_or(0, |era| era.0)
     }
 
-    /// A reading, asked for at `sent`, has shown the record, or that there is none.
+    /// Records the result of a read that was sent at `sent`: the record, or none if there is no record.
     pub fn saw(&mut self, found: Option<(LeaseRecord, Revision)>, sent: Time, now: Time) {
         let era = self.era();
-        match (found, &mut self.reading) {
-            (None, Reading::Absent { read, .. }) => *read = sent,
+        match (found, &mut self.observation) {
+            (None, Observation::Absent { read, .. }) => *read = sent,
             (None, old) => {
-                self.gone |= matches!(old, Reading::Found(_));
-                self.reading = Reading::Absent { since: now, read: sent };
+                self.record_lost |= matches!(old, Observation::Found(_));
+                self.observation = Observation::Absent { since: now, read: sent };
             }
-            // An answer may be older than what is known.
+            // An answer may be older than the latest observation.
             (Some((_, revision)), _) if revision.era() < era => {}
-            (Some((_, revision)), Reading::Found(it)) if it.revision > revision => {}
-            (Some((_, revision)), Reading::Found(it)) if it.revision == revision => it.read = sent,
+            (Some((_, revision)), Observation::Found(seen)) if seen.revision > revision => {}
+            (Some((_, revision)), Observation::Found(seen)) if seen.revision == revision => seen.read = sent,
             (Some((record, revision)), _) => {
-                self.carried &= record.era < era;
-                self.top = self.top.max(record.token);
-                self.reading = Reading::Found(Seen { record, revision, since: now, read: sent });
+                self.carried_over &= record.era < era;
+                self.max_token = self.max_token.max(record.token);
+                self.observation = Observation::Found(Observed { record, revision, since: now, read: sent });
             }
         }
     }
 
-    /// Whether the right is free.
+    /// Returns true if the lease is free to be acquired.
     pub fn may_take(&self, now: Time) -> bool {
-        let over = |since: Time, limit: Time| now.saturating_sub(since) >= limit;
-        let settled = || self.era.is_some_and(|it| over(it.1, TAKE_AFTER));
-        let carried = || self.carried && self.era.is_some_and(|it| over(it.1, OWN_AFTER));
-        let stood = |since: Time, read: Time| read.saturating_sub(since) >= TAKE_AFTER;
-        match &self.reading {
-            Reading::Unread => false,
-            Reading::Absent { .. } if self.first || carried() => true,
-            Reading::Absent { since, read } => settled() && stood(*since, *read),
-            Reading::Found(it) if it.record.era > self.era() => false,
-            Reading::Found(it) if it.record.era < self.era() => {
-                carried() || settled() && stood(it.since, it.read)
+        let elapsed = |since: Time, limit: Time| now.saturating_sub(since) >= limit;
+        let settled = || self.era.is_some_and(|era| elapsed(era.1, TAKE_AFTER));
+        let carried = || self.carried_over && self.era.is_some_and(|era| elapsed(era.1, REACQUIRE_DELAY));
+        let unchanged = |since: Time, read: Time| read.saturating_sub(since) >= TAKE_AFTER;
+        match &self.observation {
+            Observation::Unread => false,
+            Observation::Absent { .. } if self.intact || carried() => true,
+            Observation::Absent { since, read } => settled() && unchanged(*since, *read),
+            Observation::Found(seen) if seen.record.era > self.era() => false,
+            Observation::Found(seen) if seen.record.era < self.era() => {
+                carried() || settled() && unchanged(seen.since, seen.read)
             }
-            Reading::Found(it) if it.record.holder.is_empty() => true,
-            // A process before this one had it, and is no more.
-            Reading::Found(it) if it.record.holder == self.me => over(self.began, OWN_AFTER),
-            Reading::Found(it) => stood(it.since, it.read),
+            Observation::Found(seen) if seen.record.holder.is_empty() => true,
+            // An earlier process of this instance held the lease and has ended.
+            Observation::Found(seen) if seen.record.holder == self.name => {
+                elapsed(self.started_at, REACQUIRE_DELAY)
+            }
+            Observation::Found(seen) => unchanged(seen.since, seen.read),
         }
     }
 
-    /// The write that takes the right, or renews it. `nonce` tells it apart from all others.
+    /// Returns the write that acquires or renews the lease. `nonce` must differ from that of every other write.
     pub fn write(&mut self, nonce: u64, now: Time) -> Write {
         let era = self.era();
-        let (complete, revision) = match &self.reading {
-            Reading::Found(it) => (it.record.complete && it.record.era == era, Some(it.revision)),
-            Reading::Unread | Reading::Absent { .. } => (self.first && !self.gone, None),
+        let (complete, revision) = match &self.observation {
+            Observation::Found(seen) => (seen.record.complete && seen.record.era == era, Some(seen.revision)),
+            Observation::Unread | Observation::Absent { .. } => (self.intact && !self.record_lost, None),
         };
         let token = match self.held {
-            Some(it) => it.token,
-            None => (self.top + 1).max(era << TOKEN_BITS),
+            Some(held) => held.token,
+            None => (self.max_token + 1).max(era << TOKEN_BITS),
         };
-        self.sent.push((nonce, now));
-        if self.sent.len() > SENT {
-            self.sent.remove(0);
+        self.pending.push((nonce, now));
+        if self.pending.len() > MAX_PENDING {
+            self.pending.remove(0);
         }
-        Write { record: LeaseRecord { holder: self.me.clone(), token, nonce, complete, era }, revision }
+        Write { record: LeaseRecord { holder: self.name.clone(), token, nonce, complete, era }, revision }
     }
 
-    /// A write that was sent at `sent` was carried out.
+    /// Handles the success of a write that was sent at `sent`.
     pub fn written(&mut self, record: LeaseRecord, revision: Revision, sent: Time, now: Time) {
-        // Another era than the one it was meant for: what it replaced may have been another's.
+        // The store is in another era than the write was meant for, so the replaced record may be another holder's.
         if revision.era() != record.era || record.era != self.era() {
             self.held = None;
-            self.reading = Reading::Unread;
+            self.observation = Observation::Unread;
             return;
         }
-        self.hold(&record, sent);
-        self.reading = Reading::Found(Seen { record, revision, since: now, read: sent });
+        self.grant(&record, sent);
+        self.observation = Observation::Found(Observed { record, revision, since: now, read: sent });
     }
 
-    /// A write met another state of the record: it was changed by an earlier write of this process whose answer was lost, or
-    /// by another instance. False if the right is lost by that.
+    /// Handles the conflict of a write with the `current` record. The record was changed by an earlier write of this
+    /// process whose answer was lost, or by another instance. Returns false if the lease is lost as a result.
     pub fn conflicted(&mut self, current: Option<(LeaseRecord, Revision)>, sent: Time, now: Time) -> bool {
         let Some(current) = current else {
-            self.reading = Reading::Unread;
+            self.observation = Observation::Unread;
             return self.held.take().is_none();
         };
         self.saw(Some(current), sent, now);
-        let Reading::Found(Seen { record, .. }) = &self.reading else { return self.held.take().is_none() };
-        let known = self.sent.iter().find(|it| it.0 == record.nonce).map(|it| it.1);
+        let Observation::Found(Observed { record, .. }) = &self.observation else {
+            return self.held.take().is_none();
+        };
+        let known = self.pending.iter().find(|write| write.0 == record.nonce).map(|write| write.1);
         match known.filter(|_| record.era == self.era()) {
             Some(sent) => {
                 let record = record.clone();
-                self.hold(&record, sent);
+                self.grant(&record, sent);
                 true
             }
             None => self.held.take().is_none(),
         }
     }
 
-    /// A write met no record. False if the right is lost by that.
+    /// Handles a write that failed because there was no record. Returns false if the lease is lost as a result.
     pub fn missed(&mut self, sent: Time, now: Time) -> bool {
         self.saw(None, sent, now);
-        self.gone = true;
+        self.record_lost = true;
         self.held.take().is_none()
     }
 
-    /// The write that gives the right up, so that another instance need not wait.
+    /// Releases the lease. Returns the write that lets another instance acquire the lease without waiting; none if the
+    /// lease isn't held or its record isn't known.
     pub fn release(&mut self) -> Option<Write> {
         self.held.take()?;
-        let Reading::Found(seen) = &self.reading else { return None };
+        let Observation::Found(seen) = &self.observation else { return None };
         let record = LeaseRecord { holder: Name::new(), nonce: 0, ..seen.record.clone() };
         Some(Write { record, revision: Some(seen.revision) })
     }
 
-    fn hold(&mut self, record: &LeaseRecord, sent: Time) {
+    fn grant(&mut self, record: &LeaseRecord, sent: Time) {
         let LeaseRecord { token, complete, era, .. } = *record;
-        self.carried = false;
+        self.carried_over = false;
         self.held = Some(Held { token, until: sent + HOLD, complete, era });
     }
 }
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -1,85 +1,92 @@
-//! What a server counts for after it came back under its id, holding nothing.
+//! Quorum eligibility of a server that restarted under its id with an empty log.
 //!
-//! Two promises rested on what it has forgotten: commits that were acknowledged because it had received them, and its
-//! being stopped from receiving, on which a change of primary rests. So it confirms nothing of a term that may have been about
-//! to end when it came back; and until a replica has received all that the primary held after that, what was
-//! acknowledged with its word may be held by the primary alone.
+//! Two guarantees depend on state that such a server has lost: commits that were acknowledged because the server had
+//! received them, and the order to stop receiving, on which a failover relies. Therefore its confirmations don't
+//! count in a term that may have been about to end when it restarted. In addition, entries acknowledged on its confirmation
+//! may be held by the primary alone until a replica has received everything that the primary held after the restart.
 //!
-//! Which runs of a server there were is told by the directory, and by a log that is shorter than it was. Both ways of coming
-//! back, with the log and without, are handled alike: only what a server shows in its present run counts.
+//! Restarts are reported by the directory, or detected by a log that is shorter than before. Restarts with and without
+//! the log are handled alike: only what a server reports in its current run counts.
 
 use {
     crate::Time,
     pondtrack_proto::{Mark, Term},
 };
 
-/// A server that came back.
+/// Recovery state of a restarted server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Recovery {
-    /// When it was known to be back.
-    since: Time,
-    /// How long a change of primary takes at most from its order to stop a replica to its end.
-    change: Time,
-    /// The newest term that was known when it was first heard.
-    term: Option<Term>,
-    /// What the primary held after it came back.
+    /// The time at which the restart became known.
+    restarted_at: Time,
+    /// Maximum duration of a failover, from its order to stop a replica to its end.
+    max_failover: Time,
+    /// The newest term known when the server was first reached.
+    first_term: Option<Term>,
+    /// The primary's position after the restart.
     goal: Option<Mark>,
-    /// Whether a replica has received that much.
-    whole: bool,
+    /// True if a replica has received everything up to the goal.
+    recovered: bool,
 }
 
-/// Another replica's account of itself.
+/// State reported by another replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Witness {
-    /// When it was asked.
+    /// The time at which the query was sent.
     pub asked: Time,
-    /// The newest term that it knows.
+    /// The newest term known to the replica.
     pub term: Term,
-    /// Whether it receives from the term's primary.
+    /// True if the replica receives from the term's primary.
     pub receives: bool,
 }
 
 impl Recovery {
-    /// A server that was known to be back at `since`; a change of primary takes `change` at most.
-    pub fn new(since: Time, change: Time) -> Recovery {
-        Recovery { since, change, term: None, goal: None, whole: false }
+    /// Creates the state of a server whose restart became known at `restarted_at`; a failover takes at most
+    /// `max_failover`.
+    pub fn new(restarted_at: Time, max_failover: Time) -> Recovery {
+        Recovery { restarted_at, max_failover, first_term: None, goal: None, recovered: false }
     }
 
-    /// It was heard; `newest` is the newest term that any server showed so far, itself included.
+    /// Records a response of the server; `newest` is the newest term reported by any server so far, this one included.
     pub fn heard(&mut self, newest: Term) {
-        self.term = self.term.or(Some(newest));
+        self.first_term = self.first_term.or(Some(newest));
     }
 
-    /// The primary held `at` when it was asked at `asked`.
+    /// Records the primary's position `at`, given in the response to a query sent at `asked`.
     pub fn led(&mut self, at: Mark, asked: Time) {
-        if asked >= self.since {
+        if asked >= self.restarted_at {
             self.goal = self.goal.or(Some(at));
         }
     }
 
-    /// A replica that follows the newest primary ends its log at `at`.
+    /// Records that the log of a replica of the newest primary ends at `at`.
     pub fn received(&mut self, at: Mark) {
-        self.whole |= self.goal.is_some_and(|goal| at >= goal);
+        self.recovered |= self.goal.is_some_and(|goal| at >= goal);
     }
 
-    /// Whether all that was acknowledged with the word of its earlier runs is known to be held by a replica.
+    /// Returns true if everything acknowledged on the confirmations of the server's earlier runs is known to be held by
+    /// a replica.
     pub fn is_whole(&self) -> bool {
-        self.whole
+        self.recovered
     }
 
-    /// When the other replicas may be asked whether the term has outlasted every change under way.
+    /// Returns the time by which every failover that was in progress at the restart has ended. Queries sent to the
+    /// other replicas from then on show whether the term has outlasted all of them.
     pub fn over_at(&self) -> Time {
-        self.since + self.change
+        self.restarted_at + self.max_failover
     }
 
-    /// Whether its word counts in a term: in those that began after it was first heard, as whoever ends these has to stop it in
-    /// its present run; in an earlier one once no change can be under way that had stopped it before, and every other replica
-    /// shows since then that none has come about. `others` are the other replicas; none for one that wasn't heard.
+    /// Returns true if the server's confirmations count toward the quorum in `term`.
+    ///
+    /// They count in terms that began after the server was first reached, because ending such a term requires stopping the
+    /// server in its current run. In the term known at that time, or an earlier one, they count only once no failover that
+    /// had stopped the server before the restart can be in progress, and every other replica has reported since then that
+    /// none has succeeded. `others` are the reports of the other replicas; none for a replica that wasn't reached.
     pub fn counts(&self, term: Term, others: impl IntoIterator<Item = Option<Witness>>) -> bool {
-        let outlasted = |it: Witness| it.asked >= self.over_at() && it.term == term && it.receives;
-        match self.term {
+        let outlasted =
+            |report: Witness| report.asked >= self.over_at() && report.term == term && report.receives;
+        match self.first_term {
             Some(first) if term > first => true,
-            Some(_) => others.into_iter().all(|it| it.is_some_and(outlasted)),
+            Some(_) => others.into_iter().all(|report| report.is_some_and(outlasted)),
             None => false,
         }
     }
--- a/crates/core/src/switch.rs
+++ b/crates/core/src/switch.rs
@@ -1,7 +1,7 @@
-//! Fencing a majority and promoting one server.
+//! Promotion of a server to primary, after fencing a majority.
 //!
-//! One `Switch` uses one term, which its holder alone was granted. It promotes one server at most, ever:
-//! after a lost answer to a promotion, another server may only be promoted in another term.
+//! One `Switch` is one attempt in one term, which was granted to its owner alone. It promotes at most one server. If the
+//! answer to a promotion is lost, another server may only be promoted in another term.
 
 use {
     crate::chart::Chart,
@@ -10,50 +10,49 @@
     strum::{Display, EnumIter, EnumString, IntoStaticStr},
 };
 
-/// The states of a switch; the chart is `charts/switch.toml`.
+/// States of a promotion, as in `charts/switch.toml`.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum SwitchState {
-    /// Fencing servers.
+    /// Servers are being fenced.
     Fencing,
-    /// A majority is fenced and one server is told to write.
+    /// A majority is fenced and the candidate is being promoted.
     Promoting,
-    /// It writes.
+    /// The candidate is the primary.
     Done,
-    /// Given up; a new term is needed to try again.
+    /// The attempt was aborted; a retry needs a new term.
     GivenUp,
 }
 
-/// What can happen to a switch.
+/// Events of a promotion.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum SwitchEvent {
-    /// One more server is fenced, but no majority yet.
+    /// Another server is fenced, but no majority yet.
     Fenced,
     /// A majority is fenced.
     Majority,
-    /// The chosen server writes.
+    /// The candidate accepts writes.
     Promoted,
-    /// A server refuses: it knows a higher term.
+    /// A server refuses the order because it knows a higher term.
     Refused,
-    /// The chosen server didn't answer, or time is up.
+    /// The candidate didn't answer, or the deadline has passed.
     Lost,
 }
 
-static CHART: LazyLock<Chart<SwitchState, SwitchEvent>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../charts/switch.toml")).expect("the chart is checked by a test")
-});
+static CHART: LazyLock<Chart<SwitchState, SwitchEvent>> =
+    LazyLock::new(|| Chart::parse(include_str!("../charts/switch.toml")).expect("a test parses the chart"));
 
-/// The chart of a switch.
+/// Returns the state chart of a promotion.
 pub fn chart() -> &'static Chart<SwitchState, SwitchEvent> {
     &CHART
 }
 
-/// What has to be done; servers are given by their place in the group.
+/// An order to a server; servers are given by their index in the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Action {
     /// Fence a server.
@@ -70,117 +69,118 @@
         /// The term.
         term: Term,
     },
-    /// Tell a server whom to follow.
+    /// Make a server replicate from the primary.
     Follow {
         /// The server.
         server: usize,
         /// The term.
         term: Term,
-        /// Whom to follow.
+        /// The primary to replicate from.
         primary: usize,
     },
 }
 
-/// One attempt at a change of primary.
+/// One attempt to promote a server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Switch {
-    /// Its state.
+    /// The state.
     pub state: SwitchState,
-    /// Its term.
+    /// The term of the attempt.
     pub term: Term,
-    /// The server that was chosen.
+    /// The server selected for promotion.
     pub chosen: Option<usize>,
-    /// Fenced servers with the last entry of their logs, sorted by server.
+    /// Fenced servers with the last entries of their logs, sorted by server.
     pub fenced: Vec<(usize, Mark)>,
     quorum: usize,
-    prefer: Option<usize>,
-    avoid: Vec<usize>,
+    preferred: Option<usize>,
+    avoided: Vec<usize>,
 }
 
 impl Switch {
-    /// Begins with a granted term: every server is to be fenced.
+    /// Starts an attempt in a granted term; returns the orders to fence the servers.
     ///
-    /// `prefer` is waited for, until [`Switch::hurry`], and taken when its log is as high as any; `avoid` only when its log is higher than all
-    /// others, as a drained server's may be. `skip` is not fenced at all: a primary that its replicas don't
-    /// hear would win with what nobody else has, and be as useless as before.
+    /// The promotion waits for `preferred` to be fenced, until [`Switch::hurry`] is called, and selects it if no other log is
+    /// higher. Servers in `avoided`, such as drained ones, are only selected if their log is higher than all others.
+    /// `skipped` isn't fenced: a primary that its replicas can't reach would have the highest log, be selected again and
+    /// remain unreachable.
     pub fn begin(
         servers: usize,
         quorum: usize,
         term: Term,
-        prefer: Option<usize>,
-        avoid: Vec<usize>,
-        skip: Option<usize>,
+        preferred: Option<usize>,
+        avoided: Vec<usize>,
+        skipped: Option<usize>,
     ) -> (Switch, Vec<Action>) {
         let state = CHART.initial;
-        let it = Switch { state, term, chosen: None, fenced: Vec::new(), quorum, prefer, avoid };
-        let fenced = (0..servers).filter(|it| Some(*it) != skip);
+        let switch = Switch { state, term, chosen: None, fenced: Vec::new(), quorum, preferred, avoided };
+        let fenced = (0..servers).filter(|s| Some(*s) != skipped);
         let actions = fenced.map(|server| Action::Fence { server, term }).collect();
-        (it, actions)
+        (switch, actions)
     }
 
-    /// A server is fenced in `term`, its log ending at `last`.
+    /// Handles the fencing of a server in `term`, with `last` the last entry of its log.
     pub fn fenced(&mut self, server: usize, term: Term, last: Mark) -> Vec<Action> {
         if term != self.term {
             return Vec::new();
         }
-        if let Err(at) = self.fenced.binary_search_by_key(&server, |it| it.0) {
+        if let Err(at) = self.fenced.binary_search_by_key(&server, |f| f.0) {
             self.fenced.insert(at, (server, last));
         }
-        self.proceed()
+        self.try_promote()
     }
 
-    /// The preferred server has been waited for long enough.
+    /// Stops waiting for the preferred server, after its timeout.
     pub fn hurry(&mut self) -> Vec<Action> {
-        self.prefer = None;
-        self.proceed()
+        self.preferred = None;
+        self.try_promote()
     }
 
-    /// Promotes a server once a majority is fenced, and the preferred one among it.
-    fn proceed(&mut self) -> Vec<Action> {
+    /// Promotes a server once a majority that includes the preferred server, if any, is fenced.
+    fn try_promote(&mut self) -> Vec<Action> {
         let before = self.state;
-        let waits = self.prefer.is_some_and(|it| self.fenced.binary_search_by_key(&it, |f| f.0).is_err());
+        let waits = self.preferred.is_some_and(|s| self.fenced.binary_search_by_key(&s, |f| f.0).is_err());
         let majority = self.fenced.len() >= self.quorum && !waits;
         self.apply(if majority { SwitchEvent::Majority } else { SwitchEvent::Fenced });
         if before != SwitchState::Fencing || self.state != SwitchState::Promoting {
             return Vec::new();
         }
-        let server = self.choose();
+        let server = self.select_candidate();
         self.chosen = Some(server);
         vec![Action::Promote { server, term: self.term }]
     }
 
-    /// A server writes in `term`; the fenced ones are told to follow it.
+    /// Handles the promotion of a server in `term`; returns the orders to the other fenced servers to follow it.
     pub fn promoted(&mut self, server: usize, term: Term) -> Vec<Action> {
         if term != self.term || self.chosen != Some(server) || self.state != SwitchState::Promoting {
             return Vec::new();
         }
         self.apply(SwitchEvent::Promoted);
-        let others = self.fenced.iter().map(|it| it.0).filter(|it| *it != server);
-        others.map(|it| Action::Follow { server: it, term, primary: server }).collect()
+        let others = self.fenced.iter().map(|f| f.0).filter(|s| *s != server);
+        others.map(|s| Action::Follow { server: s, term, primary: server }).collect()
     }
 
-    /// A server refuses, knowing the higher term `known`.
+    /// Handles the refusal of a server that knows the term `known`; aborts if that term is higher.
     pub fn refused(&mut self, known: Term) {
         if known > self.term {
             self.apply(SwitchEvent::Refused);
         }
     }
 
-    /// The chosen server is lost, or time is up.
+    /// Aborts the attempt because the candidate is lost or the deadline has passed.
     pub fn lost(&mut self) {
         self.apply(SwitchEvent::Lost);
     }
 
-    /// The highest log among the fenced; among equals the preferred server, then one not to be avoided.
-    fn choose(&self) -> usize {
-        let rank = |it: &(usize, Mark)| {
-            (it.1, self.prefer == Some(it.0), !self.avoid.contains(&it.0), std::cmp::Reverse(it.0))
+    /// Returns the fenced server with the highest log; among equals the preferred server, then one that isn't avoided.
+    fn select_candidate(&self) -> usize {
+        let rank = |f: &(usize, Mark)| {
+            (f.1, self.preferred == Some(f.0), !self.avoided.contains(&f.0), std::cmp::Reverse(f.0))
         };
-        self.fenced.iter().max_by_key(|it| rank(it)).map(|it| it.0).expect("a majority is fenced")
+        self.fenced.iter().max_by_key(|f| rank(f)).map(|f| f.0).expect("a majority is fenced")
     }
 
     fn apply(&mut self, event: SwitchEvent) {
-        // Every pair is in the chart, which a test checks; a final state ignores what comes late.
+        // The chart has every pair of state and event, which a test checks; final states ignore late events.
         if let Ok(next) = CHART.next(self.state, event) {
             self.state = next;
         }
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -1,4 +1,7 @@
-//! The right to give orders, before a store that loses answers, carries calls out late, and comes back from older copies.
+//! The failover lease on a simulated store that loses answers, applies writes late and is restored from older copies.
+//!
+//! Guards against two holders at a time and against fencing tokens that repeat or decrease: after a restore the record
+//! and its revisions revert, so an earlier holder's writes and tokens could be mistaken for current ones.
 
 use {
     pondtrack_core::lease::{Lease, LeaseRecord, Write},
@@ -10,26 +13,26 @@
 
 /// Microseconds in a millisecond.
 const MS: u64 = 1_000;
-/// A caller waits this long for an answer to a write.
-const LIMIT: u64 = 500 * MS;
-/// An order may be under way for this long.
-const ORDER: u64 = 500 * MS;
+/// Timeout of a write, in microseconds.
+const WRITE_TIMEOUT: u64 = 500 * MS;
+/// Maximum time for which an order is in flight, in microseconds.
+const MAX_ORDER: u64 = 500 * MS;
 
-/// What is wrong with the rules, so that the check is seen to find it.
+/// A defect injected into the rules, to prove that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// Nothing tells eras apart: the revision alone counts.
+    /// Eras are ignored: only the revision counts.
     NoEra,
-    /// A record counts, whichever era it was written in.
+    /// A record counts regardless of the era in which it was written.
     RecordWithoutEra,
-    /// Fencing tokens go on from what the copy says.
+    /// Fencing tokens continue from the value in the restored copy.
     TokenWithoutEra,
 }
 
-/// The record as the store had it.
+/// A snapshots state of the store.
 #[derive(Clone, Debug)]
-struct Stored {
+struct Snapshot {
     at: u64,
     record: Option<(LeaseRecord, u64)>,
     revision: u64,
@@ -39,12 +42,13 @@
     era: u64,
     record: Option<(LeaseRecord, u64)>,
     revision: u64,
-    past: Vec<Stored>,
-    away: u64,
+    snapshots: Vec<Snapshot>,
+    /// The store is unavailable before this time.
+    down_until: u64,
 }
 
-/// A call that is carried out after its caller has stopped waiting.
-struct Late {
+/// A write that is applied after its sender has stopped waiting.
+struct DelayedWrite {
     at: u64,
     write: Write,
 }
@@ -52,77 +56,78 @@
 struct Member {
     lease: Lease,
     name: Name,
-    /// Nothing is done before this.
+    /// Time of the next action.
     next: u64,
 }
 
-struct World {
+struct Simulation {
     rng: Pcg64Mcg,
     fault: Fault,
     now: u64,
     store: Store,
-    late: Vec<Late>,
+    delayed: Vec<DelayedWrite>,
     members: Vec<Member>,
-    /// When orders took effect, with their tokens and holders.
+    /// Orders as effect time, token and holder.
     orders: Vec<(u64, u64, usize)>,
-    /// The worst time without a holder after a return of the store.
-    returned: Option<u64>,
+    /// Time at which the store became available after the last restore; none once there is a holder again.
+    restored_at: Option<u64>,
+    /// Times without a holder after each restore.
     gaps: Vec<u64>,
 }
 
 impl Store {
-    /// Carries a write out if its condition holds.
-    fn write(&mut self, it: &Write, now: u64) -> Result<Revision, Option<(LeaseRecord, Revision)>> {
-        let current = self.record.clone().map(|it| (it.0, Revision::new(self.era, it.1)));
-        match (&current, it.revision) {
-            (Some(found), Some(wanted)) if found.1.number() == wanted.number() => {}
+    /// Applies a write if its condition holds.
+    fn write(&mut self, write: &Write, now: u64) -> Result<Revision, Option<(LeaseRecord, Revision)>> {
+        let current = self.record.clone().map(|r| (r.0, Revision::new(self.era, r.1)));
+        match (&current, write.revision) {
+            (Some(found), Some(expected)) if found.1.number() == expected.number() => {}
             (None, None) => {}
             _ => return Err(current),
         }
         self.revision += 1;
-        self.record = Some((it.record.clone(), self.revision));
-        self.past.push(Stored { at: now, record: self.record.clone(), revision: self.revision });
+        self.record = Some((write.record.clone(), self.revision));
+        self.snapshots.push(Snapshot { at: now, record: self.record.clone(), revision: self.revision });
         Ok(Revision::new(self.era, self.revision))
     }
 
-    /// Comes back as it was a while ago.
+    /// Restores the state of `age` microseconds ago and begins a new era.
     fn restore(&mut self, age: u64, now: u64) {
-        let old = self.past.iter().rfind(|it| it.at + age <= now).cloned();
-        let old = old.unwrap_or(Stored { at: 0, record: None, revision: 0 });
-        self.past.retain(|it| it.at <= old.at);
+        let old = self.snapshots.iter().rfind(|s| s.at + age <= now).cloned();
+        let old = old.unwrap_or(Snapshot { at: 0, record: None, revision: 0 });
+        self.snapshots.retain(|s| s.at <= old.at);
         (self.record, self.revision) = (old.record, old.revision);
         self.era += 1;
     }
 }
 
-impl World {
-    fn new(seed: u64, fault: Fault) -> World {
+impl Simulation {
+    fn new(seed: u64, fault: Fault) -> Simulation {
         let now = 10_000 * MS;
         let name = |n: usize| Name::from(format!("n{n}"));
         let members =
             (0..3).map(|n| Member { lease: Lease::new(name(n), true, now), name: name(n), next: now });
-        World {
+        Simulation {
             rng: Pcg64Mcg::seed_from_u64(seed),
             fault,
             now,
-            store: Store { era: 0, record: None, revision: 0, past: Vec::new(), away: 0 },
-            late: Vec::new(),
+            store: Store { era: 0, record: None, revision: 0, snapshots: Vec::new(), down_until: 0 },
+            delayed: Vec::new(),
             members: members.collect(),
             orders: Vec::new(),
-            returned: None,
+            restored_at: None,
             gaps: Vec::new(),
         }
     }
 
-    /// The era as an instance is told of it.
+    /// The era as reported to an instance.
     fn era(&self) -> u64 {
         if self.fault == Fault::NoEra { 0 } else { self.store.era }
     }
 
-    /// A record as an instance reads it.
-    fn read(&self, it: LeaseRecord) -> LeaseRecord {
-        let era = if self.fault == Fault::RecordWithoutEra { self.era() } else { it.era };
-        LeaseRecord { era, ..it }
+    /// A record as read by an instance.
+    fn read(&self, record: LeaseRecord) -> LeaseRecord {
+        let era = if self.fault == Fault::RecordWithoutEra { self.era() } else { record.era };
+        LeaseRecord { era, ..record }
     }
 
     fn step(&mut self) {
@@ -132,10 +137,10 @@
             0..6 => {
                 let age = self.rng.random_range(0..6_000) * MS;
                 self.store.restore(age, now);
-                self.store.away = now + self.rng.random_range(0..2_000) * MS;
-                self.returned = Some(self.store.away);
+                self.store.down_until = now + self.rng.random_range(0..2_000) * MS;
+                self.restored_at = Some(self.store.down_until);
             }
-            6..12 => self.store.away = now + self.rng.random_range(0..4_000) * MS,
+            6..12 => self.store.down_until = now + self.rng.random_range(0..4_000) * MS,
             12..18 => {
                 let at = self.rng.random_range(0..3);
                 let name = self.members[at].name.clone();
@@ -148,42 +153,42 @@
             }
             _ => {}
         }
-        let (due, left): (Vec<Late>, Vec<Late>) =
-            std::mem::take(&mut self.late).into_iter().partition(|it| it.at <= now);
-        self.late = left;
-        for it in due {
-            // Nobody waits for what becomes of it.
-            drop(self.store.write(&it.write, now));
+        let (due, left): (Vec<DelayedWrite>, Vec<DelayedWrite>) =
+            std::mem::take(&mut self.delayed).into_iter().partition(|w| w.at <= now);
+        self.delayed = left;
+        for delayed in due {
+            // The sender no longer waits for the result.
+            drop(self.store.write(&delayed.write, now));
         }
         for at in 0..self.members.len() {
             if self.members[at].next <= now {
                 self.act(at);
             }
         }
-        let held = self.members.iter().any(|it| it.lease.held().is_some_and(|it| now < it.until));
-        if let Some(since) = self.returned.filter(|it| held && *it <= now) {
+        let held = self.members.iter().any(|m| m.lease.held().is_some_and(|held| now < held.until));
+        if let Some(since) = self.restored_at.filter(|at| held && *at <= now) {
             self.gaps.push(now - since);
-            self.returned = None;
+            self.restored_at = None;
         }
     }
 
     fn act(&mut self, at: usize) {
         let now = self.now;
         self.members[at].next = now + self.rng.random_range(100..700) * MS;
-        if let Some(it) = self.members[at].lease.held().filter(|it| now < it.until) {
-            // It may be under way for a while.
+        if let Some(held) = self.members[at].lease.held().filter(|held| now < held.until) {
+            // An order takes effect some time after it was sent.
             if self.rng.random_bool(0.3) {
-                self.orders.push((now + self.rng.random_range(0..ORDER), it.token, at));
+                self.orders.push((now + self.rng.random_range(0..MAX_ORDER), held.token, at));
             }
         }
-        if self.store.away > now {
+        if self.store.down_until > now {
             return;
         }
         let era = self.era();
         self.members[at].lease.note_era(era, now);
         let mine = self.members[at].lease.held().is_some();
         if !mine {
-            let found = self.store.record.clone().map(|it| (self.read(it.0), Revision::new(era, it.1)));
+            let found = self.store.record.clone().map(|r| (self.read(r.0), Revision::new(era, r.1)));
             self.members[at].lease.saw(found, now, now);
         }
         if mine || self.members[at].lease.may_take(now) {
@@ -198,25 +203,27 @@
             write.record.token &= u64::from(u32::MAX);
         }
         match self.rng.random_range(0..20) {
-            // It is carried out later, and not answered.
+            // Applied later, without an answer.
             0 => {
                 let late = now + self.rng.random_range(0..6_000) * MS;
-                self.late.push(Late { at: late, write });
+                self.delayed.push(DelayedWrite { at: late, write });
             }
-            // It is carried out, and not answered.
+            // Applied now, without an answer.
             1 => drop(self.store.write(&write, now)),
             _ => {
                 let outcome = self.store.write(&write, now);
-                let answered = now + self.rng.random_range(0..LIMIT / 10);
+                let answered = now + self.rng.random_range(0..WRITE_TIMEOUT / 10);
                 let (record, era) = (write.record, self.era());
-                let outcome = outcome.map_err(|it| it.map(|(record, at)| (self.read(record), at)));
+                let outcome = outcome.map_err(|current| current.map(|(record, at)| (self.read(record), at)));
                 let lease = &mut self.members[at].lease;
                 match outcome {
-                    Ok(it) => lease.written(record, Revision::new(era, it.number()), now, answered),
+                    Ok(revision) => {
+                        lease.written(record, Revision::new(era, revision.number()), now, answered)
+                    }
                     Err(current) => {
-                        let current = current.map(|it| (it.0, Revision::new(era, it.1.number())));
+                        let current = current.map(|c| (c.0, Revision::new(era, c.1.number())));
                         match current {
-                            Some(it) => drop(lease.conflicted(Some(it), now, answered)),
+                            Some(current) => drop(lease.conflicted(Some(current), now, answered)),
                             None => drop(lease.missed(now, answered)),
                         }
                     }
@@ -225,83 +232,83 @@
         }
     }
 
-    /// What went wrong first, if anything did.
-    fn wrong(&self) -> Option<String> {
+    /// The first pair of orders whose tokens decrease or are shared by two holders.
+    fn violation(&self) -> Option<String> {
         let mut orders = self.orders.clone();
         orders.sort_unstable();
-        let wrong = |pair: &&[(u64, u64, usize)]| {
+        let violates = |pair: &&[(u64, u64, usize)]| {
             let ((_, a, from), (_, b, to)) = (pair[0], pair[1]);
             b < a || a == b && from != to
         };
-        orders.windows(2).find(wrong).map(|it| format!("{it:?}"))
+        orders.windows(2).find(violates).map(|pair| format!("{pair:?}"))
     }
 }
 
-fn play(seed: u64, fault: Fault) -> World {
-    let mut it = World::new(seed, fault);
+fn run(seed: u64, fault: Fault) -> Simulation {
+    let mut simulation = Simulation::new(seed, fault);
     for _ in 0..6_000 {
-        it.step();
+        simulation.step();
     }
-    it
+    simulation
 }
 
 #[test]
-fn tokens_never_fall_and_are_never_given_out_twice() {
+fn tokens_never_decrease_and_are_never_issued_twice() {
     let (mut orders, mut gaps) = (0, Vec::new());
     for seed in 0..200 {
-        let it = play(seed, Fault::None);
-        assert_eq!(it.wrong(), None, "seed {seed}");
-        assert!(it.store.era > 0, "seed {seed}: the store never came back from a copy");
-        orders += it.orders.len();
-        gaps.extend(it.gaps);
+        let simulation = run(seed, Fault::None);
+        assert_eq!(simulation.violation(), None, "seed {seed}");
+        assert!(simulation.store.era > 0, "seed {seed}: the store was never restored");
+        orders += simulation.orders.len();
+        gaps.extend(simulation.gaps);
     }
     gaps.sort_unstable();
     assert!(orders > 5_000, "{orders} orders");
-    println!("{} returns, without a holder for {} ms at the median", gaps.len(), gaps[gaps.len() / 2] / MS);
+    println!("{} restores, median time without a holder {} ms", gaps.len(), gaps[gaps.len() / 2] / MS);
 }
 
 #[rstest]
 #[case(Fault::NoEra)]
 #[case(Fault::RecordWithoutEra)]
 #[case(Fault::TokenWithoutEra)]
-fn a_wrong_rule_is_found(#[case] fault: Fault) {
-    assert!((0..200).any(|seed| play(seed, fault).wrong().is_some()), "{fault:?}");
+fn injected_fault_is_detected(#[case] fault: Fault) {
+    assert!((0..200).any(|seed| run(seed, fault).violation().is_some()), "{fault:?}");
 }
 
 #[test]
-fn a_holder_goes_on_in_a_new_era_after_its_own_orders() {
-    let (me, now) = (Name::from("a"), 1_000 * MS);
-    let mut it = Lease::new(me, true, now);
-    it.note_era(0, now);
-    it.saw(None, now, now);
-    assert!(it.may_take(now));
-    let write = it.write(1, now);
+fn holder_reacquires_in_new_era_after_its_orders_end() {
+    let (name, now) = (Name::from("a"), 1_000 * MS);
+    let mut lease = Lease::new(name, true, now);
+    lease.note_era(0, now);
+    lease.saw(None, now, now);
+    assert!(lease.may_take(now));
+    let write = lease.write(1, now);
     assert_eq!((write.record.token, write.record.complete, write.revision), (1, true, None));
-    it.written(write.record.clone(), Revision::new(0, 7), now, now);
+    lease.written(write.record.clone(), Revision::new(0, 7), now, now);
     let later = now + 300 * MS;
-    assert!(it.note_era(1, later));
-    assert!(it.held().is_none(), "what was granted in an earlier era is over");
+    assert!(lease.note_era(1, later));
+    assert!(lease.held().is_none(), "a lease of an earlier era has ended");
     let later = later + 800 * MS;
-    assert!(!it.may_take(later), "before it has read");
-    it.saw(None, later, later);
-    assert!(!it.may_take(later - 1), "while its own orders may be under way");
-    assert!(it.may_take(later));
-    let write = it.write(2, later);
+    assert!(!lease.may_take(later), "before the record was read");
+    lease.saw(None, later, later);
+    assert!(!lease.may_take(later - 1), "while its own orders may be in flight");
+    assert!(lease.may_take(later));
+    let write = lease.write(2, later);
     assert_eq!((write.record.token, write.record.complete), (1 << 32, false));
 }
 
 #[test]
-fn others_wait_in_a_new_era_for_as_long_as_an_earlier_holder_may_act() {
+fn others_wait_in_new_era_until_earlier_holder_expired() {
     let now = 1_000 * MS;
-    let mut it = Lease::new("b".into(), false, now);
-    it.note_era(3, now);
+    let mut lease = Lease::new("b".into(), false, now);
+    lease.note_era(3, now);
     let record = LeaseRecord { holder: "a".into(), token: 9, nonce: 4, complete: true, era: 2 };
     for ms in [0, 600, 1_200, 1_800, 2_300] {
-        it.saw(Some((record.clone(), Revision::new(3, 50))), now + ms * MS, now + ms * MS);
-        assert!(!it.may_take(now + ms * MS), "after {ms} ms");
+        lease.saw(Some((record.clone(), Revision::new(3, 50))), now + ms * MS, now + ms * MS);
+        assert!(!lease.may_take(now + ms * MS), "after {ms} ms");
     }
     let then = now + 2_400 * MS;
-    it.saw(Some((record, Revision::new(3, 50))), then, then);
-    assert!(it.may_take(then));
-    assert_eq!(it.write(5, then).record.token, 3 << 32);
+    lease.saw(Some((record, Revision::new(3, 50))), then, then);
+    assert!(lease.may_take(then));
+    assert_eq!(lease.write(5, then).record.token, 3 << 32);
 }
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -1,113 +1,112 @@
-//! What servers count for that came back with nothing, and what a primary's word is worth.
+//! Servers that restart with an empty log, and primaries that lose theirs.
+//!
+//! Guards against acknowledging commits on the confirmation of a server that has forgotten them, and against serving
+//! reads from a primary whose log was lost.
 
 use {
     pondtrack_core::{
         claim::{Claim, Verdict},
         fresh::Freshness,
-        gate::{Gate, Verdict as Gated},
+        gate::{Gate, Verdict as AckStatus},
         recovery::{Recovery, Witness},
     },
     pondtrack_proto::{Lsn, Mark, Term},
     rstest::rstest,
 };
 
-/// The longest change of primary.
-const CHANGE: u64 = 100;
+/// Maximum duration of a failover.
+const MAX_FAILOVER: u64 = 100;
 
-fn back(at: u64, newest: u64) -> Recovery {
-    let mut it = Recovery::new(at, CHANGE);
-    it.heard(Term(newest));
-    it
+fn restarted(at: u64, newest: u64) -> Recovery {
+    let mut recovery = Recovery::new(at, MAX_FAILOVER);
+    recovery.heard(Term(newest));
+    recovery
 }
 
-fn witness(asked: u64, term: u64, receives: bool) -> Option<Witness> {
+fn report(asked: u64, term: u64, receives: bool) -> Option<Witness> {
     Some(Witness { asked, term: Term(term), receives })
 }
 
 #[rstest]
-#[case::the_other_replica_is_not_heard(3, &[None], false)]
-#[case::it_was_asked_too_soon(3, &[witness(1_099, 3, true)], false)]
-#[case::the_term_has_outlasted_every_change(3, &[witness(1_100, 3, true)], true)]
-#[case::the_other_was_stopped(3, &[witness(1_100, 3, false)], false)]
-#[case::another_term_was_seen(3, &[witness(1_100, 4, true)], false)]
-#[case::one_of_two_is_not_heard(3, &[witness(1_100, 3, true), None], false)]
-#[case::nobody_else_can_be_promoted(3, &[], true)]
-#[case::a_term_that_began_later(4, &[None], true)]
-#[case::an_earlier_term(2, &[witness(1_100, 3, true)], false)]
-fn in_which_terms_its_word_counts(
-    #[case] term: u64,
-    #[case] others: &[Option<Witness>],
-    #[case] counts: bool,
-) {
-    assert_eq!(back(1_000, 3).counts(Term(term), others.iter().copied()), counts);
+#[case::other_replica_not_reached(3, &[None], false)]
+#[case::query_sent_too_early(3, &[report(1_099, 3, true)], false)]
+#[case::term_outlasted_every_change(3, &[report(1_100, 3, true)], true)]
+#[case::other_replica_stopped(3, &[report(1_100, 3, false)], false)]
+#[case::other_replica_in_another_term(3, &[report(1_100, 4, true)], false)]
+#[case::one_of_two_not_reached(3, &[report(1_100, 3, true), None], false)]
+#[case::no_other_replica(3, &[], true)]
+#[case::term_began_later(4, &[None], true)]
+#[case::earlier_term(2, &[report(1_100, 3, true)], false)]
+fn confirmations_count_by_term(#[case] term: u64, #[case] others: &[Option<Witness>], #[case] counts: bool) {
+    assert_eq!(restarted(1_000, 3).counts(Term(term), others.iter().copied()), counts);
 }
 
 #[test]
-fn before_it_was_heard_it_counts_nowhere() {
-    let it = Recovery::new(1_000, CHANGE);
-    assert!(!it.counts(Term(9), [witness(5_000, 9, true)]));
+fn unreached_server_counts_in_no_term() {
+    let recovery = Recovery::new(1_000, MAX_FAILOVER);
+    assert!(!recovery.counts(Term(9), [report(5_000, 9, true)]));
 }
 
 #[test]
-fn the_first_term_that_was_known_stays_the_bar() {
-    let mut it = back(1_000, 3);
-    it.heard(Term(5));
-    assert!(it.counts(Term(4), [None]));
+fn first_known_term_stays_the_threshold() {
+    let mut recovery = restarted(1_000, 3);
+    recovery.heard(Term(5));
+    assert!(recovery.counts(Term(4), [None]));
 }
 
 #[test]
-fn it_is_whole_once_a_replica_has_what_the_primary_held_after_it_came_back() {
-    let mut it = back(1_000, 3);
-    it.led(Mark::new(3, 7), 999);
-    it.received(Mark::new(3, 9));
-    assert!(!it.is_whole(), "the primary was asked before");
-    it.led(Mark::new(3, 8), 1_000);
-    it.led(Mark::new(3, 20), 1_050);
-    it.received(Mark::new(3, 7));
-    assert!(!it.is_whole());
-    it.received(Mark::new(2, 30));
-    assert!(!it.is_whole(), "a tail of an earlier term");
-    it.received(Mark::new(3, 8));
-    assert!(it.is_whole());
+fn recovered_once_a_replica_reaches_the_primary_position_after_the_restart() {
+    let mut recovery = restarted(1_000, 3);
+    recovery.led(Mark::new(3, 7), 999);
+    recovery.received(Mark::new(3, 9));
+    assert!(!recovery.is_whole(), "the query was sent before the restart");
+    recovery.led(Mark::new(3, 8), 1_000);
+    recovery.led(Mark::new(3, 20), 1_050);
+    recovery.received(Mark::new(3, 7));
+    assert!(!recovery.is_whole());
+    recovery.received(Mark::new(2, 30));
+    assert!(!recovery.is_whole(), "the log ends in an earlier term");
+    recovery.received(Mark::new(3, 8));
+    assert!(recovery.is_whole());
 }
 
 #[test]
-fn a_primary_that_shows_less_than_a_replica_had_before_has_lost_its_log() {
-    let mut it = Claim::default();
-    assert_eq!(it.verdict(), Verdict::Holds, "nothing is known");
-    it.shows(0, Lsn(3), 10);
-    it.received(Lsn(9), 20);
-    assert_eq!(it.verdict(), Verdict::Open, "the replica may have got it meanwhile");
-    it.shows(0, Lsn(4), 15);
-    assert_eq!(it.verdict(), Verdict::Open, "asked before that was known");
-    it.shows(0, Lsn(5), 20);
-    assert_eq!(it.verdict(), Verdict::Lacks);
-    it.shows(0, Lsn(30), 40);
-    assert_eq!(it.verdict(), Verdict::Lacks, "what it wrote since stands at the positions of what it lost");
+fn primary_behind_an_earlier_replica_report_has_lost_its_log() {
+    let mut claim = Claim::default();
+    assert_eq!(claim.verdict(), Verdict::Holds, "no report yet");
+    claim.shows(0, Lsn(3), 10);
+    claim.received(Lsn(9), 20);
+    assert_eq!(claim.verdict(), Verdict::Open, "the replica may have received it in the meantime");
+    claim.shows(0, Lsn(4), 15);
+    assert_eq!(claim.verdict(), Verdict::Open, "the query was sent before that was known");
+    claim.shows(0, Lsn(5), 20);
+    assert_eq!(claim.verdict(), Verdict::Lacks);
+    claim.shows(0, Lsn(30), 40);
+    assert_eq!(claim.verdict(), Verdict::Lacks, "new entries reuse the positions of the lost ones");
 }
 
 #[test]
-fn a_primary_that_had_all_is_believed_until_it_shows_less() {
-    let mut it = Claim::default();
-    it.received(Lsn(9), 20);
-    it.shows(0, Lsn(9), 21);
-    it.received(Lsn(12), 30);
-    assert_eq!(it.verdict(), Verdict::Holds, "what it writes is received before it is asked again");
-    it.shows(0, Lsn(11), 31);
-    assert_eq!(it.verdict(), Verdict::Lacks);
-    // Another server takes the same term over with the whole log.
-    it.shows(2, Lsn(12), 32);
-    assert_eq!((it.verdict(), it.claimant()), (Verdict::Holds, Some(2)));
+fn proven_primary_is_valid_until_it_reports_a_shorter_log() {
+    let mut claim = Claim::default();
+    claim.received(Lsn(9), 20);
+    claim.shows(0, Lsn(9), 21);
+    claim.received(Lsn(12), 30);
+    assert_eq!(claim.verdict(), Verdict::Holds, "entries reach replicas before the primary is queried again");
+    claim.shows(0, Lsn(11), 31);
+    assert_eq!(claim.verdict(), Verdict::Lacks);
+    // Another server takes over the same term with the complete log.
+    claim.shows(2, Lsn(12), 32);
+    assert_eq!((claim.verdict(), claim.claimant()), (Verdict::Holds, Some(2)));
 }
 
 #[test]
-fn what_a_server_showed_before_it_started_again_acknowledges_nothing() {
+fn reports_from_before_a_restart_do_not_count() {
     let mut gate = Gate::new(2, 1);
     gate.begin(Term(1));
     gate.observe(1, Term(1), Mark::new(1, 12));
-    assert_eq!(gate.hold(Term(1), Lsn(12)), Gated::Open);
+    assert_eq!(gate.hold(Term(1), Lsn(12)), AckStatus::Open);
     gate.forget_server(1);
-    assert!(matches!(gate.hold(Term(1), Lsn(12)), Gated::Wait(_)));
+    assert!(matches!(gate.hold(Term(1), Lsn(12)), AckStatus::Wait(_)));
     let mut fresh = Freshness::new(2, 1);
     fresh.observe(Term(1), Mark::new(1, 12), 50);
     fresh.begin(Term(1));
