--- a/crates/core/benches/ratios.rs
+++ b/crates/core/benches/ratios.rs
@@ -3,7 +3,7 @@
 use {
     pondtrack_core::{
         classify::{Classifier, classify},
-        gate::Gate,
+        commit_gate::CommitGate,
         member::{MemberConfig, Members},
         place,
         quota::{Demand, Limiter, Limits, SLOTS, Slots},
@@ -109,11 +109,11 @@
 /// Seconds to hold so many commits and let them out.
 fn held(n: u64) -> f64 {
     time(|| {
-        let mut it = Gate::new(3, 2);
-        it.begin(Term(1));
+        let mut it = CommitGate::new(3, 2);
+        it.begin_term(Term(1));
         it.observe(0, Term(1), Mark::new(1, n));
         for lsn in 1..=n {
-            black_box(it.hold(Term(1), Lsn(lsn)));
+            black_box(it.request_ack(Term(1), Lsn(lsn)));
         }
         it.observe(1, Term(1), Mark::new(1, n)).len()
     })
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/commit_gate.rs
@@ -18,18 +18,18 @@
 
 /// What becomes of an acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum AckStatus {
     /// It may go out.
-    Open,
+    Ready,
     /// It waits under this ticket.
-    Wait(Ticket),
+    Pending(Ticket),
     /// Its term is over; whether it lasts has to be asked of the next primary.
-    Broken,
+    Superseded,
 }
 
 /// The gate of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Gate {
+pub struct CommitGate {
     quorum: usize,
     term: Term,
     logs: Vec<Mark>,
@@ -37,10 +37,10 @@
     next: u64,
 }
 
-impl Gate {
+impl CommitGate {
     /// A gate over `servers` servers, of which `quorum` make a majority.
-    pub fn new(servers: usize, quorum: usize) -> Gate {
-        Gate { quorum, term: Term(0), logs: vec![Mark::default(); servers], held: Vec::new(), next: 0 }
+    pub fn new(servers: usize, quorum: usize) -> CommitGate {
+        CommitGate { quorum, term: Term(0), logs: vec![Mark::default(); servers], held: Vec::new(), next: 0 }
     }
 
     /// Makes room for another server of the group.
@@ -49,7 +49,7 @@
     }
 
     /// A server no longer holds what it showed: it has lost its log, or started again.
-    pub fn forget_server(&mut self, server: usize) {
+    pub fn reset_server(&mut self, server: usize) {
         self.logs[server] = Mark::default();
     }
 
@@ -59,12 +59,12 @@
     }
 
     /// Acknowledgements held.
-    pub fn waiting(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.held.len()
     }
 
     /// Moves to a higher term; hands back the tickets that are now broken.
-    pub fn begin(&mut self, term: Term) -> Vec<Ticket> {
+    pub fn begin_term(&mut self, term: Term) -> Vec<Ticket> {
         if term <= self.term {
             return Vec::new();
         }
@@ -79,13 +79,13 @@
         }
         // Answers on several connections overtake each other; within a term a log only grows.
         self.logs[server] = self.logs[server].max(last);
-        let durable = self.durable();
+        let durable = self.commit_lsn();
         let n = self.held.partition_point(|it| it.0 <= durable);
         self.held.drain(..n).map(|it| it.1).collect()
     }
 
     /// The highest position of the term that a majority holds; 0 when there is none.
-    pub fn durable(&self) -> Lsn {
+    pub fn commit_lsn(&self) -> Lsn {
         let mut in_term: Vec<Lsn> =
             self.logs.iter().filter(|it| it.term == self.term).map(|it| it.lsn).collect();
         in_term.sort_unstable_by(|a, b| b.cmp(a));
@@ -93,22 +93,22 @@
     }
 
     /// Asks to acknowledge what the primary of `term` wrote up to `lsn`.
-    pub fn hold(&mut self, term: Term, lsn: Lsn) -> Verdict {
+    pub fn request_ack(&mut self, term: Term, lsn: Lsn) -> AckStatus {
         if term < self.term {
-            return Verdict::Broken;
+            return AckStatus::Superseded;
         }
-        if term == self.term && lsn <= self.durable() && lsn > Lsn(0) {
-            return Verdict::Open;
+        if term == self.term && lsn <= self.commit_lsn() && lsn > Lsn(0) {
+            return AckStatus::Ready;
         }
         let ticket = Ticket(self.next);
         self.next += 1;
         let at = self.held.partition_point(|it| it.0 <= lsn);
         self.held.insert(at, (lsn, ticket));
-        Verdict::Wait(ticket)
+        AckStatus::Pending(ticket)
     }
 
     /// Forgets an acknowledgement nobody waits for any longer.
-    pub fn forget(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.held.retain(|it| it.1 != ticket);
     }
 }
--- a/crates/core/src/detect.rs
+++ b/crates/core/src/failure_detector.rs
@@ -1,7 +1,7 @@
 //! When a primary is given up.
 //!
 //! The verdict only starts a change of primary; that the change loses nothing is the business of
-//! [`crate::switch`] and [`crate::gate`]. So the times here trade the gap against needless changes.
+//! [`crate::promotion`] and [`crate::commit_gate`]. So the times here trade the gap against needless changes.
 
 use {
     crate::Time,
@@ -11,32 +11,38 @@
 
 /// Times of the detector, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DetectConfig {
+pub struct DetectorConfig {
     /// Silence after which a primary is given up.
-    pub silence: u64,
+    pub silence_timeout: u64,
     /// The same when its address refuses connections: the process is gone.
-    pub refused: u64,
+    pub refused_timeout: u64,
     /// Time for which commits may wait for replicas that don't advance.
-    pub stall: u64,
+    pub stall_timeout: u64,
     /// Extra patience per rank among the homes.
-    pub stagger: u64,
+    pub rank_delay: u64,
     /// A gap between two looks after which this instance was paused itself.
-    pub pause: u64,
+    pub pause_threshold: u64,
 }
 
-impl Default for DetectConfig {
-    fn default() -> DetectConfig {
-        DetectConfig { silence: 400, refused: 150, stall: 500, stagger: 400, pause: 250 }
+impl Default for DetectorConfig {
+    fn default() -> DetectorConfig {
+        DetectorConfig {
+            silence_timeout: 400,
+            refused_timeout: 150,
+            stall_timeout: 500,
+            rank_delay: 400,
+            pause_threshold: 250,
+        }
     }
 }
 
 /// What a home knows of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct LastContact {
     /// When it last answered.
-    pub last: Option<Time>,
+    pub answered_at: Option<Time>,
     /// Since when its address refuses connections.
-    pub refused: Option<Time>,
+    pub refused_since: Option<Time>,
 }
 
 /// Why a primary is given up.
@@ -68,21 +74,21 @@
 
 /// The detector of one group at one home.
 #[derive(Clone, Debug)]
-pub struct Detector {
-    config: DetectConfig,
+pub struct FailureDetector {
+    config: DetectorConfig,
     looked: Option<Time>,
     since: Time,
 }
 
-impl Detector {
+impl FailureDetector {
     /// A detector that has no evidence yet.
-    pub fn new(config: DetectConfig, now: Time) -> Detector {
-        Detector { config, looked: None, since: now }
+    pub fn new(config: DetectorConfig, now: Time) -> FailureDetector {
+        FailureDetector { config, looked: None, since: now }
     }
 
     /// Takes a look; hands back whether evidence is to be thrown away, as this instance was paused.
-    pub fn look(&mut self, now: Time) -> bool {
-        let paused = self.looked.is_some_and(|it| now.saturating_sub(it) > self.config.pause);
+    pub fn poll(&mut self, now: Time) -> bool {
+        let paused = self.looked.is_some_and(|it| now.saturating_sub(it) > self.config.pause_threshold);
         self.looked = Some(now);
         if paused {
             self.since = now;
@@ -94,21 +100,25 @@
     ///
     /// `absent` is the time since which no server is a primary, and `stalled` that since which commits
     /// wait at the gate without any progress.
-    pub fn judge(
+    pub fn evaluate(
         &self,
         now: Time,
         rank: usize,
-        primary: Option<&Heard>,
+        primary: Option<&LastContact>,
         absent: Option<Time>,
         stalled: Option<Time>,
     ) -> Option<Cause> {
-        let extra = rank as u64 * self.config.stagger;
+        let extra = rank as u64 * self.config.rank_delay;
         let over = |from: Time, limit: u64| now.saturating_sub(from.max(self.since)) >= limit + extra;
         match primary {
-            None => absent.is_some_and(|at| over(at, self.config.silence)).then_some(Cause::Absent),
-            Some(it) if it.refused.is_some_and(|at| over(at, self.config.refused)) => Some(Cause::Refused),
-            Some(it) if over(it.last.unwrap_or(self.since), self.config.silence) => Some(Cause::Silent),
-            Some(_) if stalled.is_some_and(|at| over(at, self.config.stall)) => Some(Cause::Stalled),
+            None => absent.is_some_and(|at| over(at, self.config.silence_timeout)).then_some(Cause::Absent),
+            Some(it) if it.refused_since.is_some_and(|at| over(at, self.config.refused_timeout)) => {
+                Some(Cause::Refused)
+            }
+            Some(it) if over(it.answered_at.unwrap_or(self.since), self.config.silence_timeout) => {
+                Some(Cause::Silent)
+            }
+            Some(_) if stalled.is_some_and(|at| over(at, self.config.stall_timeout)) => Some(Cause::Stalled),
             Some(_) => None,
         }
     }
--- a/crates/core/src/fresh.rs
+++ b/crates/core/src/freshness.rs
@@ -22,7 +22,7 @@
 
 /// When an account of this age was asked for, or later, on the clock of the one that asked for it at `sent`: the question
 /// was sent before it came. None for a time before that clock began.
-pub fn asked(sent: Time, age: Time) -> Option<Time> {
+pub fn asked_at(sent: Time, age: Time) -> Option<Time> {
     sent.checked_sub(age).filter(|at| *at > 0)
 }
 
@@ -42,7 +42,7 @@
     }
 
     /// A later term has begun: what was known of earlier ones no longer counts.
-    pub fn begin(&mut self, term: Term) {
+    pub fn begin_term(&mut self, term: Term) {
         if term > self.term {
             self.term = term;
             self.confirmed.fill(None);
@@ -52,7 +52,7 @@
 
     /// A server named `term` in the answer to a question sent at `sent`.
     pub fn confirm(&mut self, server: usize, term: Term, sent: Time) {
-        self.begin(term);
+        self.begin_term(term);
         if term == self.term {
             let it = &mut self.confirmed[server];
             *it = Some(it.map_or(sent, |old| old.max(sent)));
@@ -65,12 +65,12 @@
     }
 
     /// A server's word no longer counts: it has lost its log, or started again.
-    pub fn forget(&mut self, server: usize) {
+    pub fn reset_server(&mut self, server: usize) {
         self.confirmed[server] = None;
     }
 
     /// What the primary showed no longer counts: it has lost its log, or another one leads the term.
-    pub fn forget_primary(&mut self) {
+    pub fn reset_primary(&mut self) {
         self.seen.clear();
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// The lowest position that holds everything acknowledged before `since`, and when it was asked for.
-    pub fn needed(&self, since: Time) -> Option<(Time, Mark)> {
+    pub fn required_position(&self, since: Time) -> Option<(Time, Mark)> {
         let confirmed = self.confirmed_at()?;
         let n = self.seen.partition_point(|it| it.0 < since);
         self.seen.get(n).filter(|it| it.0 <= confirmed).copied()
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -12,38 +12,38 @@
 
 /// The recorded leader of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Leader {
+pub struct LeaderRecord {
     /// The term.
     pub term: Term,
     /// The server that led the term; none if the term's primary was never seen.
     pub server: Option<Name>,
 }
 
-impl Leader {
+impl LeaderRecord {
     /// Returns true if `other` supersedes this record: it is of a later term, or names the leader of the same term
     /// where this record doesn't.
-    pub fn is_older(&self, other: &Leader) -> bool {
+    pub fn is_older_than(&self, other: &LeaderRecord) -> bool {
         (self.term, self.server.is_some()) < (other.term, other.server.is_some())
     }
 }
 
 /// The facts known about a group whose primary is unreachable.
 #[derive(Clone, Copy, Debug)]
-pub struct Evidence<'a> {
+pub struct LeaderEvidence<'a> {
     /// The newest term reported by any server.
     pub term: Term,
     /// The recorded leader.
-    pub record: Option<&'a Leader>,
+    pub record: Option<&'a LeaderRecord>,
     /// True if every promotion so far was ordered after the leader of its group had been recorded.
     pub complete: bool,
     /// Servers of the group that are listed as the primary in the directory.
-    pub claims: &'a [Name],
+    pub claimants: &'a [Name],
 }
 
-impl Evidence<'_> {
+impl LeaderEvidence<'_> {
     /// Returns the server that leads the term; none if that isn't proven.
     pub fn leader(&self) -> Option<&Name> {
-        match (self.record, self.claims) {
+        match (self.record, self.claimants) {
             (Some(record), _) if record.term == self.term => record.server.as_ref(),
             (None, [claim]) if self.complete => Some(claim),
             _ => None,
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,14 +1,14 @@
 //! The failover lease: at most one instance at a time may order fences and promotions.
 //!
-//! The lease is a record in the store that is only changed by conditional writes. The holder may act for [`HOLD`],
+//! The lease is a record in the store that is only changed by conditional writes. The holder may act for [`LEASE_DURATION`],
 //! counted from the time at which it sent its last successful renewal. Another instance takes over once it has seen the
-//! record unchanged for [`TAKE_AFTER`] on its own clock, so clocks are never compared between instances. A holder that was
+//! record unchanged for [`TAKEOVER_DELAY`] on its own clock, so clocks are never compared between instances. A holder that was
 //! paused finds its lease expired.
 //!
 //! The store may be restored from an older copy, which starts a new era: records revert, the lease's among them, and
 //! revisions are assigned a second time. Each record therefore carries the era in which it was written, and a record of an
-//! earlier era has no holder. Such a record may be taken over once the new era has been known for [`TAKE_AFTER`], as
-//! a holder that is unaware of the new era may act for [`HOLD`]. The earlier holder itself only waits until its own orders
+//! earlier era has no holder. Such a record may be taken over once the new era has been known for [`TAKEOVER_DELAY`], as
+//! a holder that is unaware of the new era may act for [`LEASE_DURATION`]. The earlier holder itself only waits until its own orders
 //! have ended. Fencing tokens carry the era in their upper half, so no token is issued twice, whatever the copy contains.
 
 use {
@@ -19,10 +19,10 @@
 
 /// Time for which the holder may act after sending a renewal, in microseconds. It is short, so that a holder that is
 /// partitioned from the store is replaced within seconds; a slow store answers within 400 ms.
-pub const HOLD: Time = 1_500_000;
-/// Time for which a record must remain unchanged before another instance takes it over, in microseconds. It covers [`HOLD`],
+pub const LEASE_DURATION: Time = 1_500_000;
+/// Time for which a record must remain unchanged before another instance takes it over, in microseconds. It covers [`LEASE_DURATION`],
 /// the time for which an order may be in flight (500 ms), and a margin for clock drift.
-pub const TAKE_AFTER: Time = 2_400_000;
+pub const TAKEOVER_DELAY: Time = 2_400_000;
 /// Time after its start for which a process that finds its own name in the record waits, in microseconds, because an
 /// order of the previous process may still be in flight. The holder of an earlier era waits as long for its own orders.
 const REACQUIRE_DELAY: Time = 800_000;
@@ -51,11 +51,11 @@
 
 /// The lease while held by this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct HeldLease {
     /// The fencing token.
     pub token: u64,
     /// Expiry time, in microseconds of the instance's clock.
-    pub until: Time,
+    pub expires_at: Time,
     /// The same as [`LeaseRecord::complete`].
     pub complete: bool,
     /// The era of the store in which the lease was granted.
@@ -64,7 +64,7 @@
 
 /// A conditional write of the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Write {
+pub struct ConditionalWrite {
     /// The new record.
     pub record: LeaseRecord,
     /// The revision to replace; none if there must be no record.
@@ -102,7 +102,7 @@
     observation: Observation,
     /// Nonces of recent writes and the times at which they were sent.
     pending: Vec<(u64, Time)>,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     /// The store's era and the time at which it was first seen.
     era: Option<(u64, Time)>,
     /// True if the store has lost no records: it is new, or still in its first era.
@@ -133,12 +133,12 @@
     }
 
     /// Returns the lease if this instance is the holder as far as is known here; the lease may have expired.
-    pub fn held(&self) -> Option<Held> {
+    pub fn held(&self) -> Option<HeldLease> {
         self.held
     }
 
     /// Records the store's era as given by one of its answers. Returns true if the era is later than the one known before.
-    pub fn note_era(&mut self, era: u64, now: Time) -> bool {
+    pub fn observe_era(&mut self, era: u64, now: Time) -> bool {
         let Some((known, _)) = self.era else {
             self.intact |= era == 0;
             self.era = Some((era, now));
@@ -149,7 +149,7 @@
         }
         self.era = Some((era, now));
         self.intact = false;
-        self.carried_over = self.held.take().is_some_and(|held| now < held.until);
+        self.carried_over = self.held.take().is_some_and(|held| now < held.expires_at);
         self.observation = Observation::Unread;
         true
     }
@@ -159,7 +159,7 @@
     }
 
     /// Records the result of a read that was sent at `sent`: the record, or none if there is no record.
-    pub fn saw(&mut self, found: Option<(LeaseRecord, Revision)>, sent: Time, now: Time) {
+    pub fn observe(&mut self, found: Option<(LeaseRecord, Revision)>, sent: Time, now: Time) {
         let era = self.era();
         match (found, &mut self.observation) {
             (None, Observation::Absent { read, .. }) => *read = sent,
@@ -180,11 +180,11 @@
     }
 
     /// Returns true if the lease is free to be acquired.
-    pub fn may_take(&self, now: Time) -> bool {
+    pub fn can_acquire(&self, now: Time) -> bool {
         let elapsed = |since: Time, limit: Time| now.saturating_sub(since) >= limit;
-        let settled = || self.era.is_some_and(|era| elapsed(era.1, TAKE_AFTER));
+        let settled = || self.era.is_some_and(|era| elapsed(era.1, TAKEOVER_DELAY));
         let carried = || self.carried_over && self.era.is_some_and(|era| elapsed(era.1, REACQUIRE_DELAY));
-        let unchanged = |since: Time, read: Time| read.saturating_sub(since) >= TAKE_AFTER;
+        let unchanged = |since: Time, read: Time| read.saturating_sub(since) >= TAKEOVER_DELAY;
         match &self.observation {
             Observation::Unread => false,
             Observation::Absent { .. } if self.intact || carried() => true,
@@ -203,7 +203,7 @@
     }
 
     /// Returns the write that acquires or renews the lease. `nonce` must differ from that of every other write.
-    pub fn write(&mut self, nonce: u64, now: Time) -> Write {
+    pub fn acquire_or_renew(&mut self, nonce: u64, now: Time) -> ConditionalWrite {
         let era = self.era();
         let (complete, revision) = match &self.observation {
             Observation::Found(seen) => (seen.record.complete && seen.record.era == era, Some(seen.revision)),
@@ -217,11 +217,14 @@
         if self.pending.len() > MAX_PENDING {
             self.pending.remove(0);
         }
-        Write { record: LeaseRecord { holder: self.name.clone(), token, nonce, complete, era }, revision }
+        ConditionalWrite {
+            record: LeaseRecord { holder: self.name.clone(), token, nonce, complete, era },
+            revision,
+        }
     }
 
     /// Handles the success of a write that was sent at `sent`.
-    pub fn written(&mut self, record: LeaseRecord, revision: Revision, sent: Time, now: Time) {
+    pub fn write_succeeded(&mut self, record: LeaseRecord, revision: Revision, sent: Time, now: Time) {
         // The store is in another era than the write was meant for, so the replaced record may be another holder's.
         if revision.era() != record.era || record.era != self.era() {
             self.held = None;
@@ -234,12 +237,17 @@
 
     /// Handles the conflict of a write with the `current` record. The record was changed by an earlier write of this
     /// process whose answer was lost, or by another instance. Returns false if the lease is lost as a result.
-    pub fn conflicted(&mut self, current: Option<(LeaseRecord, Revision)>, sent: Time, now: Time) -> bool {
+    pub fn write_conflicted(
+        &mut self,
+        current: Option<(LeaseRecord, Revision)>,
+        sent: Time,
+        now: Time,
+    ) -> bool {
         let Some(current) = current else {
             self.observation = Observation::Unread;
             return self.held.take().is_none();
         };
-        self.saw(Some(current), sent, now);
+        self.observe(Some(current), sent, now);
         let Observation::Found(Observed { record, .. }) = &self.observation else {
             return self.held.take().is_none();
         };
@@ -255,24 +263,24 @@
     }
 
     /// Handles a write that failed because there was no record. Returns false if the lease is lost as a result.
-    pub fn missed(&mut self, sent: Time, now: Time) -> bool {
-        self.saw(None, sent, now);
+    pub fn record_missing(&mut self, sent: Time, now: Time) -> bool {
+        self.observe(None, sent, now);
         self.record_lost = true;
         self.held.take().is_none()
     }
 
     /// Releases the lease. Returns the write that lets another instance acquire the lease without waiting; none if the
     /// lease isn't held or its record isn't known.
-    pub fn release(&mut self) -> Option<Write> {
+    pub fn release(&mut self) -> Option<ConditionalWrite> {
         self.held.take()?;
         let Observation::Found(seen) = &self.observation else { return None };
         let record = LeaseRecord { holder: Name::new(), nonce: 0, ..seen.record.clone() };
-        Some(Write { record, revision: Some(seen.revision) })
+        Some(ConditionalWrite { record, revision: Some(seen.revision) })
     }
 
     fn grant(&mut self, record: &LeaseRecord, sent: Time) {
         let LeaseRecord { token, complete, era, .. } = *record;
         self.carried_over = false;
-        self.held = Some(Held { token, until: sent + HOLD, complete, era });
+        self.held = Some(HeldLease { token, expires_at: sent + LEASE_DURATION, complete, era });
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,15 +8,15 @@
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`gate`] | acknowledgements wait for a majority |
-//! | [`switch`] | fencing a majority and promoting one server |
-//! | [`grant`] | terms taken ahead of need |
+//! | [`commit_gate`] | acknowledgements wait for a majority |
+//! | [`promotion`] | fencing a majority and promoting one server |
+//! | [`term_pool`] | terms taken ahead of need |
 //! | [`leader`] | who leads a term whose primary gives no answer |
 //! | [`lease`] | which instance may give orders |
-//! | [`claim`] | whether a primary holds what its replicas have received |
+//! | [`primary_claim`] | whether a primary holds what its replicas have received |
 //! | [`recovery`] | what a server counts for that came back with nothing |
-//! | [`detect`] | when a primary is given up |
-//! | [`fresh`] | how old a replica's answer is |
+//! | [`failure_detector`] | when a primary is given up |
+//! | [`freshness`] | how old a replica's answer is |
 //! | [`request_key`] | keys of requests that run once at most |
 //! | [`token`] | what a session carries between instances |
 //!
@@ -41,7 +41,7 @@
 //! | [`spread`] | versioned facts, pushes and digests |
 //! | [`plan`] | from an intent to steps |
 //!
-//! What they share: [`chart`] (state charts read from files), [`life`] (those of sessions and connections),
+//! What they share: [`state_chart`] (state charts read from files), [`lifecycle`] (those of sessions and connections),
 //! [`timer`], [`journal`].
 
 pub mod admit;
@@ -49,21 +49,20 @@
 pub mod budget;
 pub mod cadence;
 pub mod capacity;
-pub mod chart;
-pub mod claim;
 pub mod classify;
+pub mod commit_gate;
 pub mod delta;
-pub mod detect;
-pub mod fresh;
-pub mod gate;
-pub mod grant;
+pub mod failure_detector;
+pub mod freshness;
 pub mod journal;
 pub mod leader;
 pub mod lease;
-pub mod life;
+pub mod lifecycle;
 pub mod member;
 pub mod place;
 pub mod plan;
+pub mod primary_claim;
+pub mod promotion;
 pub mod quota;
 pub mod recovery;
 pub mod request_key;
@@ -71,7 +70,8 @@
 pub mod retry_after;
 pub mod route;
 pub mod spread;
-pub mod switch;
+pub mod state_chart;
+pub mod term_pool;
 pub mod timer;
 pub mod token;
 pub mod turn;
--- a/crates/core/src/life.rs
+++ b/crates/core/src/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The lives of a caller's session and of an upstream connection, as charts.
 
 use {
-    crate::chart::Chart,
+    crate::state_chart::StateChart,
     std::sync::LazyLock,
     strum::{Display, EnumIter, EnumString, IntoStaticStr},
 };
@@ -33,7 +33,8 @@
     /// An answer came; a transaction is open.
     Opened,
     /// An answer came; the transaction has failed.
-    Broke,
+    #[strum(serialize = "broke")]
+    Failed,
     /// The instance leaves.
     Leave,
     /// The caller is gone, or a fatal error was answered.
@@ -72,20 +73,20 @@
     Drop,
 }
 
-static SESSION: LazyLock<Chart<SessionState, SessionEvent>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../charts/session.toml")).expect("the chart is checked by a test")
+static SESSION: LazyLock<StateChart<SessionState, SessionEvent>> = LazyLock::new(|| {
+    StateChart::parse(include_str!("../charts/session.toml")).expect("the chart is checked by a test")
 });
 
-static CONNECTION: LazyLock<Chart<ConnState, ConnEvent>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../charts/connection.toml")).expect("the chart is checked by a test")
+static CONNECTION: LazyLock<StateChart<ConnState, ConnEvent>> = LazyLock::new(|| {
+    StateChart::parse(include_str!("../charts/connection.toml")).expect("the chart is checked by a test")
 });
 
 /// The chart of a caller's session.
-pub fn session() -> &'static Chart<SessionState, SessionEvent> {
+pub fn session_chart() -> &'static StateChart<SessionState, SessionEvent> {
     &SESSION
 }
 
 /// The chart of an upstream connection.
-pub fn connection() -> &'static Chart<ConnState, ConnEvent> {
+pub fn connection_chart() -> &'static StateChart<ConnState, ConnEvent> {
     &CONNECTION
 }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -8,8 +8,8 @@
 use {
     crate::{
         Time,
-        chart::Chart,
         spread::{self, Choice, Spread},
+        state_chart::StateChart,
     },
     pondtrack_proto::{Datagram, Fact, MemberState, MemberView, Name, Payload},
     rand::{RngExt, SeedableRng, seq::SliceRandom},
@@ -22,34 +22,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberConfig {
     /// Between two probes.
-    pub interval: u64,
+    pub probe_interval: u64,
     /// Until a direct probe counts as missed.
-    pub direct: u64,
+    pub direct_timeout: u64,
     /// Until the probes through others count as missed.
-    pub indirect: u64,
+    pub indirect_timeout: u64,
     /// Others asked to probe.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// Until a suspect is held for dead.
-    pub suspicion: u64,
+    pub suspicion_timeout: u64,
     /// Between two looks at a member held for dead, which may only have been cut off.
-    pub revive: u64,
+    pub dead_interval: u64,
     /// Least time between two requests for the whole list of members.
-    pub refresh: u64,
+    pub sync_interval: u64,
     /// How peers for a push are chosen.
-    pub choice: Choice,
+    pub peer_choice: Choice,
 }
 
 impl Default for MemberConfig {
     fn default() -> MemberConfig {
         MemberConfig {
-            interval: 1_000,
-            direct: 300,
-            indirect: 500,
-            helpers: 3,
-            suspicion: 2_000,
-            revive: 5_000,
-            refresh: 10_000,
-            choice: Choice::Uniform,
+            probe_interval: 1_000,
+            direct_timeout: 300,
+            indirect_timeout: 500,
+            indirect_probes: 3,
+            suspicion_timeout: 2_000,
+            dead_interval: 5_000,
+            sync_interval: 10_000,
+            peer_choice: Choice::Uniform,
         }
     }
 }
@@ -76,7 +76,8 @@
     /// It says that it leaves.
     Leaves,
     /// Others hold it for dead.
-    Buried,
+    #[strum(serialize = "buried")]
+    DeclaredDead,
 }
 
 /// States of [`MemberState`] as the chart names them.
@@ -84,7 +85,7 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
-pub enum Life {
+pub enum MemberPhase {
     /// Answers probes.
     Alive,
     /// Missed its probes.
@@ -95,12 +96,12 @@
     Dead,
 }
 
-static CHART: LazyLock<Chart<Life, MemberEvent>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../charts/member.toml")).expect("the chart is checked by a test")
+static CHART: LazyLock<StateChart<MemberPhase, MemberEvent>> = LazyLock::new(|| {
+    StateChart::parse(include_str!("../charts/member.toml")).expect("the chart is checked by a test")
 });
 
 /// The chart of a member's life.
-pub fn chart() -> &'static Chart<Life, MemberEvent> {
+pub fn chart() -> &'static StateChart<MemberPhase, MemberEvent> {
     &CHART
 }
 
@@ -159,9 +160,9 @@
 #[derive(Clone, Debug)]
 pub struct Members {
     /// The instance itself.
-    pub me: MemberView,
+    pub local: MemberView,
     /// Its facts.
-    pub spread: Spread,
+    pub facts: Spread,
     config: MemberConfig,
     list: Vec<MemberView>,
     suspects: Vec<(Name, Time)>,
@@ -183,8 +184,8 @@
     /// Begins alone; `seeds` are addresses to join through.
     pub fn new(me: MemberView, seeds: Vec<SocketAddr>, config: MemberConfig, seed: u64) -> Members {
         Members {
-            me,
-            spread: Spread::default(),
+            local: me,
+            facts: Spread::default(),
             config,
             list: Vec::new(),
             suspects: Vec::new(),
@@ -209,27 +210,27 @@
     }
 
     /// All that take part, this instance among them, sorted by name.
-    pub fn all(&self) -> Vec<MemberView> {
+    pub fn active(&self) -> Vec<MemberView> {
         let mut out: Vec<MemberView> =
             self.list.iter().filter(|it| it.state != MemberState::Dead).cloned().collect();
-        let at = out.partition_point(|it| it.name < self.me.name);
-        out.insert(at, self.me.clone());
+        let at = out.partition_point(|it| it.name < self.local.name);
+        out.insert(at, self.local.clone());
         out
     }
 
     /// A member by name.
     pub fn get(&self, name: &str) -> Option<&MemberView> {
-        if self.me.name == name {
-            return Some(&self.me);
+        if self.local.name == name {
+            return Some(&self.local);
         }
         self.list.binary_search_by(|it| it.name.as_str().cmp(name)).ok().map(|at| &self.list[at])
     }
 
     /// Adds addresses to join through, as from the platform's list; known members are left alone.
-    pub fn seed(&mut self, addrs: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_seeds(&mut self, addrs: impl IntoIterator<Item = SocketAddr>) {
         for it in addrs {
-            let known =
-                it == self.me.addr || self.list.iter().any(|m| m.addr == it && m.state != MemberState::Dead);
+            let known = it == self.local.addr
+                || self.list.iter().any(|m| m.addr == it && m.state != MemberState::Dead);
             if !known && !self.seeds.contains(&it) {
                 self.seeds.push(it);
             }
@@ -238,9 +239,9 @@
 
     /// Says that this instance leaves.
     pub fn leave(&mut self) -> Output {
-        self.me.incarnation += 1;
-        self.me.state = MemberState::Leaving;
-        let me = self.me.clone();
+        self.local.incarnation += 1;
+        self.local.state = MemberState::Leaving;
+        let me = self.local.clone();
         self.tell(me);
         let mut out = Output::default();
         self.push_news(&mut out);
@@ -248,9 +249,9 @@
     }
 
     /// Takes a fact that this instance learned elsewhere, and pushes it if it is news.
-    pub fn learn(&mut self, fact: Fact) -> Output {
+    pub fn publish(&mut self, fact: Fact) -> Output {
         let mut out = Output::default();
-        if self.spread.accept(fact.clone()) {
+        if self.facts.accept(fact.clone()) {
             self.push(std::slice::from_ref(&fact), None, &mut out);
             out.facts.push(fact);
         }
@@ -258,7 +259,7 @@
     }
 
     /// A connection to a member broke: it is probed next.
-    pub fn doubt(&mut self, name: &Name) {
+    pub fn probe_next(&mut self, name: &Name) {
         self.order.retain(|it| it != name);
         self.order.push(name.clone());
     }
@@ -268,7 +269,7 @@
         let mut out = Output::default();
         let gap = self.ticked.map_or(0, |it| now.saturating_sub(it));
         self.ticked = Some(now);
-        if gap > self.config.interval {
+        if gap > self.config.probe_interval {
             self.forgive(now);
         }
         self.expire_probes(now, &mut out);
@@ -277,12 +278,12 @@
         if !out.changes.is_empty() {
             self.push_news(&mut out);
         }
-        if now >= self.probed + self.config.interval {
+        if now >= self.probed + self.config.probe_interval {
             self.probed = now;
             self.probe(now, &mut out);
             self.join(&mut out);
         }
-        if now >= self.revived + self.config.revive {
+        if now >= self.revived + self.config.dead_interval {
             self.revived = now;
             self.revive(&mut out);
         }
@@ -294,7 +295,7 @@
     pub fn receive(&mut self, now: Time, gram: Datagram) -> Output {
         let mut out = Output::default();
         let Datagram { from, facts, news, body } = gram;
-        if from.name == self.me.name {
+        if from.name == self.local.name {
             return out;
         }
         let addr = from.addr;
@@ -311,13 +312,13 @@
         let probe = matches!(body, Payload::Ping { .. } | Payload::Ack { .. });
         match body {
             Payload::Ping { seq } => {
-                let about = self.me.name.clone();
+                let about = self.local.name.clone();
                 self.send(addr, Payload::Ack { seq, about }, &mut out);
             }
             Payload::Ack { seq, about } => self.acked(seq, about, &mut out),
             Payload::PingFor { seq, addr: to, .. } => {
                 self.seq += 1;
-                let until = now + self.config.direct + self.config.indirect;
+                let until = now + self.config.direct_timeout + self.config.indirect_timeout;
                 self.errands.push(Errand { seq: self.seq, origin: addr, asked: seq, until });
                 self.send(to, Payload::Ping { seq: self.seq }, &mut out);
             }
@@ -325,25 +326,25 @@
             Payload::Members => {}
             Payload::Facts { facts } => self.take_facts(facts, &sender, &mut out),
             Payload::Compare { digest } => {
-                if let Some(it) = self.spread.compare(&digest) {
+                if let Some(it) = self.facts.compare(&digest) {
                     self.send(addr, it, &mut out);
                 }
             }
             Payload::Versions { keys, buckets } => {
-                for it in self.spread.versions(&keys, &buckets) {
+                for it in self.facts.versions(&keys, &buckets) {
                     self.send(addr, it, &mut out);
                 }
             }
             Payload::Want { keys } => {
-                for it in self.spread.wanted(&keys) {
+                for it in self.facts.wanted(&keys) {
                     self.send(addr, it, &mut out);
                 }
             }
         }
         // One comparison an interval is enough to repair; more would let a large difference flood.
-        if probe && facts != self.spread.hash() && now >= self.compared + self.config.interval / 2 {
+        if probe && facts != self.facts.hash() && now >= self.compared + self.config.probe_interval / 2 {
             self.compared = now;
-            let digest = self.spread.digest();
+            let digest = self.facts.digest();
             self.send(addr, Payload::Compare { digest }, &mut out);
         }
         out
@@ -354,7 +355,7 @@
         self.probes.clear();
         self.errands.clear();
         for it in &mut self.suspects {
-            it.1 = now + self.config.suspicion;
+            it.1 = now + self.config.suspicion_timeout;
         }
     }
 
@@ -362,7 +363,7 @@
         let Some(target) = self.next_target() else { return };
         let Some(addr) = self.get(&target).map(|it| it.addr) else { return };
         self.seq += 1;
-        let until = now + self.config.direct;
+        let until = now + self.config.direct_timeout;
         self.probes.push(Probe { seq: self.seq, target, stage: Stage::Direct, until });
         self.send(addr, Payload::Ping { seq: self.seq }, out);
     }
@@ -406,12 +407,16 @@
         }
         // Other zones first: a cut inside the target's zone should not condemn it.
         helpers.sort_unstable();
-        for (_, _, to) in helpers.into_iter().take(self.config.helpers) {
+        for (_, _, to) in helpers.into_iter().take(self.config.indirect_probes) {
             let (seq, target) = (probe.seq, probe.target.clone());
             self.send(to, Payload::PingFor { seq, target, addr }, out);
         }
         self.send(addr, Payload::Ping { seq: probe.seq }, out);
-        self.probes.push(Probe { stage: Stage::Indirect, until: now + self.config.indirect, ..probe });
+        self.probes.push(Probe {
+            stage: Stage::Indirect,
+            until: now + self.config.indirect_timeout,
+            ..probe
+        });
     }
 
     fn acked(&mut self, seq: u64, about: Name, out: &mut Output) {
@@ -449,7 +454,7 @@
 
     /// Asks one member for the whole list, the less often the larger the fleet.
     fn refresh(&mut self, now: Time, out: &mut Output) {
-        let period = self.config.refresh.max(self.list.len() as u64 * 100);
+        let period = self.config.sync_interval.max(self.list.len() as u64 * 100);
         if now < self.refreshed + period {
             return;
         }
@@ -475,7 +480,7 @@
 
     /// Merges what is told of a member: a higher incarnation wins, then the worse state.
     fn merge(&mut self, now: Time, view: MemberView, out: &mut Output) {
-        if view.name == self.me.name {
+        if view.name == self.local.name {
             self.defend(&view, out);
             return;
         }
@@ -488,7 +493,7 @@
                 self.tell(view.clone());
                 let (name, after) = (view.name, view.state);
                 if after == MemberState::Suspect {
-                    self.suspects.push((name.clone(), now + self.config.suspicion));
+                    self.suspects.push((name.clone(), now + self.config.suspicion_timeout));
                 }
                 out.changes.push(Change { name, before: None, after });
                 return;
@@ -505,7 +510,7 @@
             MemberState::Alive => MemberEvent::Refuted,
             MemberState::Suspect => MemberEvent::Missed,
             MemberState::Leaving => MemberEvent::Leaves,
-            MemberState::Dead => MemberEvent::Buried,
+            MemberState::Dead => MemberEvent::DeclaredDead,
         };
         let name = view.name.clone();
         let it = &mut self.list[at];
@@ -524,7 +529,7 @@
         self.list[at].state = after;
         self.suspects.retain(|it| it.0 != *name);
         if after == MemberState::Suspect {
-            self.suspects.push((name.clone(), now + self.config.suspicion));
+            self.suspects.push((name.clone(), now + self.config.suspicion_timeout));
         }
         let view = self.list[at].clone();
         self.tell(view);
@@ -535,13 +540,13 @@
 
     /// Refutes what others hold of this instance.
     fn defend(&mut self, view: &MemberView, out: &mut Output) {
-        let wrong = view.incarnation >= self.me.incarnation && view.state > self.me.state;
-        let stale = view.incarnation > self.me.incarnation;
+        let wrong = view.incarnation >= self.local.incarnation && view.state > self.local.state;
+        let stale = view.incarnation > self.local.incarnation;
         if !wrong && !stale {
             return;
         }
-        self.me.incarnation = view.incarnation + 1;
-        let me = self.me.clone();
+        self.local.incarnation = view.incarnation + 1;
+        let me = self.local.clone();
         self.tell(me);
         self.push_news(out);
     }
@@ -569,7 +574,7 @@
     }
 
     fn take_facts(&mut self, facts: Vec<Fact>, from: &Name, out: &mut Output) {
-        let news: Vec<Fact> = facts.into_iter().filter(|it| self.spread.accept(it.clone())).collect();
+        let news: Vec<Fact> = facts.into_iter().filter(|it| self.facts.accept(it.clone())).collect();
         if !news.is_empty() {
             self.push(&news, Some(from), out);
             out.facts.extend(news);
@@ -580,7 +585,7 @@
     fn push(&mut self, facts: &[Fact], except: Option<&Name>, out: &mut Output) {
         let open: Vec<&MemberView> =
             self.list.iter().filter(|it| it.state != MemberState::Dead && Some(&it.name) != except).collect();
-        let chosen = spread::peers(self.config.choice, &self.me.name, &open, &mut self.rng);
+        let chosen = spread::peers(self.config.peer_choice, &self.local.name, &open, &mut self.rng);
         let to: Vec<SocketAddr> = chosen.into_iter().map(|it| it.addr).collect();
         for payload in spread::pack(facts.to_vec()) {
             for addr in &to {
@@ -592,7 +597,7 @@
     /// Sends the news to a few peers at once, rather than with the next probe.
     fn push_news(&mut self, out: &mut Output) {
         let open: Vec<&MemberView> = self.list.iter().filter(|it| it.state != MemberState::Dead).collect();
-        let chosen = spread::peers(self.config.choice, &self.me.name, &open, &mut self.rng);
+        let chosen = spread::peers(self.config.peer_choice, &self.local.name, &open, &mut self.rng);
         let to: Vec<SocketAddr> = chosen.into_iter().map(|it| it.addr).collect();
         for addr in to {
             self.send(addr, Payload::Members, out);
@@ -606,24 +611,24 @@
     }
 
     fn datagram(&self, news: Vec<MemberView>, body: Payload) -> Datagram {
-        Datagram { from: self.me.clone(), facts: self.spread.hash(), news, body }
+        Datagram { from: self.local.clone(), facts: self.facts.hash(), news, body }
     }
 }
 
-fn life(it: MemberState) -> Life {
+fn life(it: MemberState) -> MemberPhase {
     match it {
-        MemberState::Alive => Life::Alive,
-        MemberState::Suspect => Life::Suspect,
-        MemberState::Leaving => Life::Leaving,
-        MemberState::Dead => Life::Dead,
+        MemberState::Alive => MemberPhase::Alive,
+        MemberState::Suspect => MemberPhase::Suspect,
+        MemberState::Leaving => MemberPhase::Leaving,
+        MemberState::Dead => MemberPhase::Dead,
     }
 }
 
-fn state(it: Life) -> MemberState {
+fn state(it: MemberPhase) -> MemberState {
     match it {
-        Life::Alive => MemberState::Alive,
-        Life::Suspect => MemberState::Suspect,
-        Life::Leaving => MemberState::Leaving,
-        Life::Dead => MemberState::Dead,
+        MemberPhase::Alive => MemberState::Alive,
+        MemberPhase::Suspect => MemberState::Suspect,
+        MemberPhase::Leaving => MemberState::Leaving,
+        MemberPhase::Dead => MemberState::Dead,
     }
 }
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -4,7 +4,7 @@
 //! those versions. Each step can be done twice with the effect of once, so any instance can carry on.
 
 use {
-    crate::chart::Chart,
+    crate::state_chart::StateChart,
     pondtrack_proto::{
         GroupSpec, Intent, MemberState, MemberView, Name, Plan, PlanState, ServerSpec, Step, StepState, Term,
     },
@@ -36,7 +36,7 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
-pub enum Stage {
+pub enum PlanPhase {
     /// Shown to the operator.
     Proposed,
     /// Worked on.
@@ -49,12 +49,12 @@
     Failed,
 }
 
-static CHART: LazyLock<Chart<Stage, PlanEvent>> = LazyLock::new(|| {
-    Chart::parse(include_str!("../charts/plan.toml")).expect("the chart is checked by a test")
+static CHART: LazyLock<StateChart<PlanPhase, PlanEvent>> = LazyLock::new(|| {
+    StateChart::parse(include_str!("../charts/plan.toml")).expect("the chart is checked by a test")
 });
 
 /// The chart of a plan's life.
-pub fn chart() -> &'static Chart<Stage, PlanEvent> {
+pub fn chart() -> &'static StateChart<PlanPhase, PlanEvent> {
     &CHART
 }
 
@@ -73,7 +73,7 @@
     },
     /// It is so already.
     #[snafu(display("nothing to do: {reason}"))]
-    Nothing {
+    NoChange {
         /// Why.
         reason: String,
     },
@@ -85,7 +85,7 @@
     },
     /// The plan's state doesn't allow it.
     #[snafu(display("the plan is {state}, so it can't take {event}"))]
-    State {
+    InvalidState {
         /// Its state.
         state: PlanState,
         /// What was asked.
@@ -95,7 +95,7 @@
 
 /// What plans are made from.
 #[derive(Clone, Debug, Default)]
-pub struct Outlook {
+pub struct ClusterView {
     /// Groups with the versions of their configuration, sorted by name.
     pub groups: Vec<(GroupSpec, u64)>,
     /// Primaries as the homes see them: group, server, term.
@@ -105,7 +105,7 @@
 }
 
 /// Makes a plan.
-pub fn propose(name: Name, operator: Name, intent: Intent, outlook: &Outlook) -> Result<Plan, PlanError> {
+pub fn propose(name: Name, operator: Name, intent: Intent, outlook: &ClusterView) -> Result<Plan, PlanError> {
     let (steps, effects, basis) = match &intent {
         Intent::Drain { group, server } => drain(outlook, group, server)?,
         Intent::Return { group, server } => bring_back(outlook, group, server)?,
@@ -134,7 +134,7 @@
             plan.state = state(next);
             Ok(())
         }
-        Err(_) => Err(PlanError::State { state: plan.state, event }),
+        Err(_) => Err(PlanError::InvalidState { state: plan.state, event }),
     }
 }
 
@@ -145,11 +145,11 @@
 
 type Parts = (Vec<Step>, Vec<String>, Vec<(String, Name, u64)>);
 
-fn drain(outlook: &Outlook, group: &Name, server: &Name) -> Result<Parts, PlanError> {
+fn drain(outlook: &ClusterView, group: &Name, server: &Name) -> Result<Parts, PlanError> {
     let (spec, version) = find_group(outlook, group)?;
     let it = find_server(spec, server)?;
     if it.draining {
-        return Err(PlanError::Nothing { reason: format!("{server} is draining already") });
+        return Err(PlanError::NoChange { reason: format!("{server} is draining already") });
     }
     let others: Vec<&ServerSpec> =
         spec.servers.iter().filter(|it| !it.draining && it.name != *server).collect();
@@ -171,17 +171,17 @@
     Ok((steps, effects, vec![("group".to_owned(), group.clone(), version)]))
 }
 
-fn bring_back(outlook: &Outlook, group: &Name, server: &Name) -> Result<Parts, PlanError> {
+fn bring_back(outlook: &ClusterView, group: &Name, server: &Name) -> Result<Parts, PlanError> {
     let (spec, version) = find_group(outlook, group)?;
     if !find_server(spec, server)?.draining {
-        return Err(PlanError::Nothing { reason: format!("{server} is in use already") });
+        return Err(PlanError::NoChange { reason: format!("{server} is in use already") });
     }
     let step = Step::Mark { group: group.clone(), server: server.clone(), draining: false };
     let effect = format!("{group}: {server} takes reads again and may become the primary");
     Ok((vec![step], vec![effect], vec![("group".to_owned(), group.clone(), version)]))
 }
 
-fn switch(outlook: &Outlook, group: &Name, server: &Name) -> Result<Parts, PlanError> {
+fn switch(outlook: &ClusterView, group: &Name, server: &Name) -> Result<Parts, PlanError> {
     let (spec, version) = find_group(outlook, group)?;
     if find_server(spec, server)?.draining {
         let reason = format!("{server} is draining; return it first: pondtrack plan return {group} {server}");
@@ -189,7 +189,7 @@
     }
     let from = match primary(outlook, group) {
         Some(it) if it == server => {
-            return Err(PlanError::Nothing { reason: format!("{server} is the primary already") });
+            return Err(PlanError::NoChange { reason: format!("{server} is the primary already") });
         }
         Some(it) => it.clone(),
         None => Name::from("none known"),
@@ -203,13 +203,13 @@
     Ok((vec![step], effects, vec![("group".to_owned(), group.clone(), version)]))
 }
 
-fn stop(outlook: &Outlook, instance: &Name) -> Result<Parts, PlanError> {
+fn stop(outlook: &ClusterView, instance: &Name) -> Result<Parts, PlanError> {
     let Some(it) = crate::place::find(&outlook.members, instance) else {
         let known = join(outlook.members.iter().map(|it| &it.name));
         return Err(PlanError::Unknown { kind: "instance", name: instance.clone(), known });
     };
     if it.state == MemberState::Leaving {
-        return Err(PlanError::Nothing { reason: format!("{instance} is leaving already") });
+        return Err(PlanError::NoChange { reason: format!("{instance} is leaving already") });
     }
     let rest = outlook.members.iter().filter(|it| it.name != *instance && it.state == MemberState::Alive);
     if rest.count() == 0 {
@@ -224,7 +224,7 @@
     Ok((vec![Step::Leave { instance: instance.clone() }], effects, Vec::new()))
 }
 
-fn configure(outlook: &Outlook, spec: &GroupSpec) -> Result<Parts, PlanError> {
+fn configure(outlook: &ClusterView, spec: &GroupSpec) -> Result<Parts, PlanError> {
     let mut spec = spec.clone();
     spec.servers.sort_by(|a, b| a.name.cmp(&b.name));
     spec.check().map_err(|e| PlanError::Unsafe { reason: e.to_string() })?;
@@ -235,7 +235,7 @@
         Some((old, _)) => differences(old, &spec),
     };
     if effects.is_empty() {
-        return Err(PlanError::Nothing { reason: format!("{} is configured so already", spec.name) });
+        return Err(PlanError::NoChange { reason: format!("{} is configured so already", spec.name) });
     }
     if let Some((old, _)) = old {
         check_change(old, &spec)?;
@@ -274,7 +274,7 @@
     out
 }
 
-fn find_group<'a>(outlook: &'a Outlook, name: &Name) -> Result<(&'a GroupSpec, u64), PlanError> {
+fn find_group<'a>(outlook: &'a ClusterView, name: &Name) -> Result<(&'a GroupSpec, u64), PlanError> {
     match outlook.groups.binary_search_by(|it| it.0.name.cmp(name)) {
         Ok(at) => Ok((&outlook.groups[at].0, outlook.groups[at].1)),
         Err(_) => {
@@ -292,7 +292,7 @@
     })
 }
 
-fn primary<'a>(outlook: &'a Outlook, group: &Name) -> Option<&'a Name> {
+fn primary<'a>(outlook: &'a ClusterView, group: &Name) -> Option<&'a Name> {
     outlook.primaries.iter().filter(|it| it.0 == *group).max_by_key(|it| it.2).map(|it| &it.1)
 }
 
@@ -301,22 +301,22 @@
     if names.is_empty() { "none".to_owned() } else { names.join(", ") }
 }
 
-fn stage(it: PlanState) -> Stage {
+fn stage(it: PlanState) -> PlanPhase {
     match it {
-        PlanState::Proposed => Stage::Proposed,
-        PlanState::Running => Stage::Running,
-        PlanState::Done => Stage::Done,
-        PlanState::Aborted => Stage::Aborted,
-        PlanState::Failed => Stage::Failed,
+        PlanState::Proposed => PlanPhase::Proposed,
+        PlanState::Running => PlanPhase::Running,
+        PlanState::Done => PlanPhase::Done,
+        PlanState::Aborted => PlanPhase::Aborted,
+        PlanState::Failed => PlanPhase::Failed,
     }
 }
 
-fn state(it: Stage) -> PlanState {
+fn state(it: PlanPhase) -> PlanState {
     match it {
-        Stage::Proposed => PlanState::Proposed,
-        Stage::Running => PlanState::Running,
-        Stage::Done => PlanState::Done,
-        Stage::Aborted => PlanState::Aborted,
-        Stage::Failed => PlanState::Failed,
+        PlanPhase::Proposed => PlanState::Proposed,
+        PlanPhase::Running => PlanState::Running,
+        PlanPhase::Done => PlanState::Done,
+        PlanPhase::Aborted => PlanState::Aborted,
+        PlanPhase::Failed => PlanState::Failed,
     }
 }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/primary_claim.rs
@@ -9,18 +9,18 @@
 
 /// Assessment of a server's claim to be the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum ClaimStatus {
     /// Nothing contradicts the claim.
-    Holds,
+    Valid,
     /// A replica has received more than the claimant reported in an earlier response: the claimant must be queried again.
-    Open,
+    Unverified,
     /// The claimant's log was shorter than what a replica had received before the claimant was queried.
-    Lacks,
+    LogLost,
 }
 
 /// A server's claim to be the primary of a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Claim {
+pub struct PrimaryClaim {
     /// The server that makes the claim.
     claimant: Option<usize>,
     /// The time of the claimant's last query and the position it reported.
@@ -34,11 +34,15 @@
     lost: bool,
 }
 
-impl Claim {
+impl PrimaryClaim {
     /// Records that a server that reports itself as primary was at position `at` in the response to a query sent at `asked`.
-    pub fn shows(&mut self, server: usize, at: Lsn, asked: Time) {
+    pub fn observe_primary(&mut self, server: usize, at: Lsn, asked: Time) {
         if self.claimant != Some(server) {
-            *self = Claim { claimant: Some(server), replicated: self.replicated, ..Claim::default() };
+            *self = PrimaryClaim {
+                claimant: Some(server),
+                replicated: self.replicated,
+                ..PrimaryClaim::default()
+            };
         }
         // Responses on several connections may arrive out of order.
         if self.reported.is_none_or(|reported| reported.0 <= asked) {
@@ -49,7 +53,7 @@
     }
 
     /// Records that a replica has received entries of the term up to `at`, which became known at `now`.
-    pub fn received(&mut self, at: Lsn, now: Time) {
+    pub fn observe_replica(&mut self, at: Lsn, now: Time) {
         if self.replicated.is_none_or(|replicated| replicated.1 < at) {
             self.replicated = Some((now, at));
         }
@@ -62,12 +66,14 @@
     }
 
     /// Returns the assessment of the claim.
-    pub fn verdict(&self) -> Verdict {
+    pub fn status(&self) -> ClaimStatus {
         match (self.reported, self.replicated) {
-            _ if self.lost => Verdict::Lacks,
+            _ if self.lost => ClaimStatus::LogLost,
             // A proven claimant's new entries may reach replicas before the claimant is queried again.
-            (Some((_, held)), Some((_, received))) if held < received && !self.proven => Verdict::Open,
-            _ => Verdict::Holds,
+            (Some((_, held)), Some((_, received))) if held < received && !self.proven => {
+                ClaimStatus::Unverified
+            }
+            _ => ClaimStatus::Valid,
         }
     }
 }
--- a/crates/core/src/switch.rs
+++ b/crates/core/src/promotion.rs
@@ -1,21 +1,21 @@
 //! Promotion of a server to primary, after fencing a majority.
 //!
-//! One `Switch` is one attempt in one term, which was granted to its owner alone. It promotes at most one server. If the
+//! One `Promotion` is one attempt in one term, which was granted to its owner alone. It promotes at most one server. If the
 //! answer to a promotion is lost, another server may only be promoted in another term.
 
 use {
-    crate::chart::Chart,
+    crate::state_chart::StateChart,
     pondtrack_proto::{Mark, Term},
     std::sync::LazyLock,
     strum::{Display, EnumIter, EnumString, IntoStaticStr},
 };
 
-/// States of a promotion, as in `charts/switch.toml`.
+/// States of a promotion, as in `charts/promotion.toml`.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
-pub enum SwitchState {
+pub enum PromotionState {
     /// Servers are being fenced.
     Fencing,
     /// A majority is fenced and the candidate is being promoted.
@@ -31,7 +31,7 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
-pub enum SwitchEvent {
+pub enum PromotionEvent {
     /// Another server is fenced, but no majority yet.
     Fenced,
     /// A majority is fenced.
@@ -44,11 +44,12 @@
     Lost,
 }
 
-static CHART: LazyLock<Chart<SwitchState, SwitchEvent>> =
-    LazyLock::new(|| Chart::parse(include_str!("../charts/switch.toml")).expect("a test parses the chart"));
+static CHART: LazyLock<StateChart<PromotionState, PromotionEvent>> = LazyLock::new(|| {
+    StateChart::parse(include_str!("../charts/promotion.toml")).expect("a test parses the chart")
+});
 
 /// Returns the state chart of a promotion.
-pub fn chart() -> &'static Chart<SwitchState, SwitchEvent> {
+pub fn chart() -> &'static StateChart<PromotionState, PromotionEvent> {
     &CHART
 }
 
@@ -82,13 +83,13 @@
 
 /// One attempt to promote a server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Switch {
+pub struct Promotion {
     /// The state.
-    pub state: SwitchState,
+    pub state: PromotionState,
     /// The term of the attempt.
     pub term: Term,
     /// The server selected for promotion.
-    pub chosen: Option<usize>,
+    pub candidate: Option<usize>,
     /// Fenced servers with the last entries of their logs, sorted by server.
     pub fenced: Vec<(usize, Mark)>,
     quorum: usize,
@@ -96,30 +97,31 @@
     avoided: Vec<usize>,
 }
 
-impl Switch {
+impl Promotion {
     /// Starts an attempt in a granted term; returns the orders to fence the servers.
     ///
-    /// The promotion waits for `preferred` to be fenced, until [`Switch::hurry`] is called, and selects it if no other log is
+    /// The promotion waits for `preferred` to be fenced, until [`Promotion::skip_preferred`] is called, and selects it if no other log is
     /// higher. Servers in `avoided`, such as drained ones, are only selected if their log is higher than all others.
     /// `skipped` isn't fenced: a primary that its replicas can't reach would have the highest log, be selected again and
     /// remain unreachable.
-    pub fn begin(
+    pub fn start(
         servers: usize,
         quorum: usize,
         term: Term,
         preferred: Option<usize>,
         avoided: Vec<usize>,
         skipped: Option<usize>,
-    ) -> (Switch, Vec<Action>) {
+    ) -> (Promotion, Vec<Action>) {
         let state = CHART.initial;
-        let switch = Switch { state, term, chosen: None, fenced: Vec::new(), quorum, preferred, avoided };
+        let promotion =
+            Promotion { state, term, candidate: None, fenced: Vec::new(), quorum, preferred, avoided };
         let fenced = (0..servers).filter(|s| Some(*s) != skipped);
         let actions = fenced.map(|server| Action::Fence { server, term }).collect();
-        (switch, actions)
+        (promotion, actions)
     }
 
     /// Handles the fencing of a server in `term`, with `last` the last entry of its log.
-    pub fn fenced(&mut self, server: usize, term: Term, last: Mark) -> Vec<Action> {
+    pub fn on_fenced(&mut self, server: usize, term: Term, last: Mark) -> Vec<Action> {
         if term != self.term {
             return Vec::new();
         }
@@ -130,7 +132,7 @@
     }
 
     /// Stops waiting for the preferred server, after its timeout.
-    pub fn hurry(&mut self) -> Vec<Action> {
+    pub fn skip_preferred(&mut self) -> Vec<Action> {
         self.preferred = None;
         self.try_promote()
     }
@@ -140,35 +142,35 @@
         let before = self.state;
         let waits = self.preferred.is_some_and(|s| self.fenced.binary_search_by_key(&s, |f| f.0).is_err());
         let majority = self.fenced.len() >= self.quorum && !waits;
-        self.apply(if majority { SwitchEvent::Majority } else { SwitchEvent::Fenced });
-        if before != SwitchState::Fencing || self.state != SwitchState::Promoting {
+        self.apply(if majority { PromotionEvent::Majority } else { PromotionEvent::Fenced });
+        if before != PromotionState::Fencing || self.state != PromotionState::Promoting {
             return Vec::new();
         }
         let server = self.select_candidate();
-        self.chosen = Some(server);
+        self.candidate = Some(server);
         vec![Action::Promote { server, term: self.term }]
     }
 
     /// Handles the promotion of a server in `term`; returns the orders to the other fenced servers to follow it.
-    pub fn promoted(&mut self, server: usize, term: Term) -> Vec<Action> {
-        if term != self.term || self.chosen != Some(server) || self.state != SwitchState::Promoting {
+    pub fn on_promoted(&mut self, server: usize, term: Term) -> Vec<Action> {
+        if term != self.term || self.candidate != Some(server) || self.state != PromotionState::Promoting {
             return Vec::new();
         }
-        self.apply(SwitchEvent::Promoted);
+        self.apply(PromotionEvent::Promoted);
         let others = self.fenced.iter().map(|f| f.0).filter(|s| *s != server);
         others.map(|s| Action::Follow { server: s, term, primary: server }).collect()
     }
 
     /// Handles the refusal of a server that knows the term `known`; aborts if that term is higher.
-    pub fn refused(&mut self, known: Term) {
+    pub fn on_refused(&mut self, known: Term) {
         if known > self.term {
-            self.apply(SwitchEvent::Refused);
+            self.apply(PromotionEvent::Refused);
         }
     }
 
     /// Aborts the attempt because the candidate is lost or the deadline has passed.
-    pub fn lost(&mut self) {
-        self.apply(SwitchEvent::Lost);
+    pub fn abort(&mut self) {
+        self.apply(PromotionEvent::Lost);
     }
 
     /// Returns the fenced server with the highest log; among equals the preferred server, then one that isn't avoided.
@@ -179,7 +181,7 @@
         self.fenced.iter().max_by_key(|f| rank(f)).map(|f| f.0).expect("a majority is fenced")
     }
 
-    fn apply(&mut self, event: SwitchEvent) {
+    fn apply(&mut self, event: PromotionEvent) {
         // The chart has every pair of state and event, which a test checks; final states ignore late events.
         if let Ok(next) = CHART.next(self.state, event) {
             self.state = next;
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -30,13 +30,13 @@
 
 /// State reported by another replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Witness {
+pub struct ReplicaReport {
     /// The time at which the query was sent.
-    pub asked: Time,
+    pub asked_at: Time,
     /// The newest term known to the replica.
     pub term: Term,
     /// True if the replica receives from the term's primary.
-    pub receives: bool,
+    pub receiving: bool,
 }
 
 impl Recovery {
@@ -47,31 +47,31 @@
     }
 
     /// Records a response of the server; `newest` is the newest term reported by any server so far, this one included.
-    pub fn heard(&mut self, newest: Term) {
+    pub fn observe_term(&mut self, newest: Term) {
         self.first_term = self.first_term.or(Some(newest));
     }
 
     /// Records the primary's position `at`, given in the response to a query sent at `asked`.
-    pub fn led(&mut self, at: Mark, asked: Time) {
+    pub fn observe_primary(&mut self, at: Mark, asked: Time) {
         if asked >= self.restarted_at {
             self.goal = self.goal.or(Some(at));
         }
     }
 
     /// Records that the log of a replica of the newest primary ends at `at`.
-    pub fn received(&mut self, at: Mark) {
+    pub fn observe_replica(&mut self, at: Mark) {
         self.recovered |= self.goal.is_some_and(|goal| at >= goal);
     }
 
     /// Returns true if everything acknowledged on the confirmations of the server's earlier runs is known to be held by
     /// a replica.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_recovered(&self) -> bool {
         self.recovered
     }
 
     /// Returns the time by which every failover that was in progress at the restart has ended. Queries sent to the
     /// other replicas from then on show whether the term has outlasted all of them.
-    pub fn over_at(&self) -> Time {
+    pub fn failover_deadline(&self) -> Time {
         self.restarted_at + self.max_failover
     }
 
@@ -81,9 +81,14 @@
     /// server in its current run. In the term known at that time, or an earlier one, they count only once no failover that
     /// had stopped the server before the restart can be in progress, and every other replica has reported since then that
     /// none has succeeded. `others` are the reports of the other replicas; none for a replica that wasn't reached.
-    pub fn counts(&self, term: Term, others: impl IntoIterator<Item = Option<Witness>>) -> bool {
-        let outlasted =
-            |report: Witness| report.asked >= self.over_at() && report.term == term && report.receives;
+    pub fn counts_for_quorum(
+        &self,
+        term: Term,
+        others: impl IntoIterator<Item = Option<ReplicaReport>>,
+    ) -> bool {
+        let outlasted = |report: ReplicaReport| {
+            report.asked_at >= self.failover_deadline() && report.term == term && report.receiving
+        };
         match self.first_term {
             Some(first) if term > first => true,
             Some(_) => others.into_iter().all(|report| report.is_some_and(outlasted)),
--- a/crates/core/src/chart.rs
+++ b/crates/core/src/state_chart.rs
@@ -26,7 +26,7 @@
     },
     /// A pair stands twice.
     #[snafu(display("the chart has {pair} twice"))]
-    Twice {
+    Duplicate {
         /// The pair.
         pair: String,
     },
@@ -35,7 +35,7 @@
 /// An event that a state doesn't expect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{event:?} is not expected in {state:?}"))]
-pub struct Unexpected<S: Debug, E: Debug> {
+pub struct UnexpectedEvent<S: Debug, E: Debug> {
     /// The state.
     pub state: S,
     /// The event.
@@ -55,47 +55,47 @@
 
 /// A chart over the states `S` and events `E`.
 #[derive(Clone, Debug)]
-pub struct Chart<S, E> {
+pub struct StateChart<S, E> {
     /// Where a life begins.
     pub initial: S,
     /// States that are never left.
-    pub last: Vec<S>,
+    pub terminal: Vec<S>,
     /// Moves: from, on, to; sorted.
-    pub moves: Vec<(S, E, S)>,
+    pub transitions: Vec<(S, E, S)>,
 }
 
-impl<S, E> Chart<S, E>
+impl<S, E> StateChart<S, E>
 where
     S: Copy + Ord + Debug + FromStr,
     E: Copy + Ord + Debug + FromStr,
 {
     /// Reads a chart; an ignored pair becomes a move to the same state.
-    pub fn parse(text: &str) -> Result<Chart<S, E>, ChartError> {
+    pub fn parse(text: &str) -> Result<StateChart<S, E>, ChartError> {
         let file: ChartFile =
             toml::from_str(text).map_err(|e| ChartError::Syntax { reason: e.to_string() })?;
-        let mut moves = Vec::new();
+        let mut transitions = Vec::new();
         for [from, on, to] in &file.moves {
-            moves.push((name(from)?, name(on)?, name(to)?));
+            transitions.push((name(from)?, name(on)?, name(to)?));
         }
         for [state, on] in &file.ignored {
             let state = name(state)?;
-            moves.push((state, name(on)?, state));
+            transitions.push((state, name(on)?, state));
         }
-        moves.sort();
-        for pair in moves.windows(2) {
+        transitions.sort();
+        for pair in transitions.windows(2) {
             if (pair[0].0, pair[0].1) == (pair[1].0, pair[1].1) {
-                return Err(ChartError::Twice { pair: format!("{:?} on {:?}", pair[0].0, pair[0].1) });
+                return Err(ChartError::Duplicate { pair: format!("{:?} on {:?}", pair[0].0, pair[0].1) });
             }
         }
-        let last = file.last.iter().map(|it| name(it)).collect::<Result<_, _>>()?;
-        Ok(Chart { initial: name(&file.initial)?, last, moves })
+        let terminal = file.last.iter().map(|it| name(it)).collect::<Result<_, _>>()?;
+        Ok(StateChart { initial: name(&file.initial)?, terminal, transitions })
     }
 
     /// The state after an event.
-    pub fn next(&self, state: S, event: E) -> Result<S, Unexpected<S, E>> {
-        match self.moves.binary_search_by_key(&(state, event), |it| (it.0, it.1)) {
-            Ok(at) => Ok(self.moves[at].2),
-            Err(_) => Err(Unexpected { state, event }),
+    pub fn next(&self, state: S, event: E) -> Result<S, UnexpectedEvent<S, E>> {
+        match self.transitions.binary_search_by_key(&(state, event), |it| (it.0, it.1)) {
+            Ok(at) => Ok(self.transitions[at].2),
+            Err(_) => Err(UnexpectedEvent { state, event }),
         }
     }
 
@@ -105,7 +105,7 @@
         let mut at = 0;
         while at < seen.len() {
             let from = seen[at];
-            let next = self.moves.iter().filter(|it| it.0 == from).map(|it| it.2);
+            let next = self.transitions.iter().filter(|it| it.0 == from).map(|it| it.2);
             for it in next.collect::<Vec<_>>() {
                 if !seen.contains(&it) {
                     seen.push(it);
@@ -118,7 +118,7 @@
 
     /// The pairs that are neither moved on nor ignored; final states expect nothing.
     pub fn unhandled(&self, states: &[S], events: &[E]) -> Vec<(S, E)> {
-        let open = states.iter().filter(|it| !self.last.contains(it));
+        let open = states.iter().filter(|it| !self.terminal.contains(it));
         let pairs = open.flat_map(|s| events.iter().map(|e| (*s, *e)));
         pairs.filter(|(s, e)| self.next(*s, *e).is_err()).collect()
     }
--- a/crates/core/src/grant.rs
+++ b/crates/core/src/term_pool.rs
@@ -12,17 +12,17 @@
 /// Terms in one block. Numbers cost nothing: with a thousand blocks a second they last for 500,000 years. A home
 /// parts with half of its terms at a time and each change of primary takes one, so of 16 none could be parted with
 /// after two changes by different homes.
-pub const BLOCK: u64 = 1_024;
+pub const BLOCK_SIZE: u64 = 1_024;
 /// A holder asks for another block when fewer usable terms than this are left: it has parted with some twice.
 const LOW: u64 = 256;
 
 /// The terms one instance may promote with.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Grants {
+pub struct TermPool {
     blocks: Vec<(Term, Term)>,
 }
 
-impl Grants {
+impl TermPool {
     /// Adds a block: the terms from `first` up to, without, `end`.
     pub fn add(&mut self, first: Term, end: Term) {
         self.blocks.push((first, end));
@@ -31,16 +31,16 @@
 
     /// Takes the lowest granted term above `known`; it is never handed out again.
     pub fn take(&mut self, known: Term) -> Option<Term> {
-        self.forget(known);
+        self.discard_through(known);
         let block = self.blocks.first_mut()?;
         let term = block.0;
         block.0 = Term(term.0 + 1);
-        self.forget(known);
+        self.discard_through(known);
         Some(term)
     }
 
     /// Drops terms that are no longer of use.
-    pub fn forget(&mut self, known: Term) {
+    pub fn discard_through(&mut self, known: Term) {
         for it in &mut self.blocks {
             it.0 = it.0.max(Term(known.0 + 1));
         }
@@ -51,8 +51,8 @@
     ///
     /// The lower half stays: whoever changed the primary last is the likeliest to do so again, and what it
     /// takes next then leaves the terms of the others usable.
-    pub fn share(&mut self, known: Term) -> Option<(Term, Term)> {
-        self.forget(known);
+    pub fn split_off(&mut self, known: Term) -> Option<(Term, Term)> {
+        self.discard_through(known);
         let block = self.blocks.iter_mut().max_by_key(|it| it.1.0 - it.0.0)?;
         let half = (block.1.0 - block.0.0) / 2;
         let first = Term(block.1.0 - half);
@@ -60,23 +60,23 @@
         (half > 0).then_some(upper)
     }
 
-    /// How many terms are left; some may be of no use, unless [`Grants::forget`] was told of the newest.
-    pub fn left(&self) -> u64 {
+    /// How many terms are left; some may be of no use, unless [`TermPool::discard_through`] was told of the newest.
+    pub fn remaining(&self) -> u64 {
         self.blocks.iter().map(|it| it.1.0 - it.0.0).sum()
     }
 
     /// Whether another block should be asked for.
     pub fn is_low(&self) -> bool {
-        self.left() < LOW
+        self.remaining() < LOW
     }
 }
 
 /// The record after giving out one more block above `known`, and the block.
 ///
 /// `change` names this change, so that its writer recognises it after a lost answer.
-pub fn give(record: &TermRecord, known: Term, change: u64) -> (TermRecord, (Term, Term)) {
+pub fn allocate_block(record: &TermRecord, known: Term, change: u64) -> (TermRecord, (Term, Term)) {
     let first = Term(record.next.0.max(record.term.0 + 1).max(known.0 + 1));
-    let end = Term(first.0 + BLOCK);
+    let end = Term(first.0 + BLOCK_SIZE);
     let next = TermRecord { next: end, change, ..record.clone() };
     (next, (first, end))
 }
--- a/crates/core/tests/charts.rs
+++ b/crates/core/tests/charts.rs
@@ -2,17 +2,17 @@
 
 use {
     pondtrack_core::{
-        chart::Chart,
-        life::{self, ConnEvent, ConnState, SessionEvent, SessionState},
-        member::{self, Life, MemberEvent},
-        plan::{self, PlanEvent, Stage},
-        switch::{self, SwitchEvent, SwitchState},
+        lifecycle::{self, ConnEvent, ConnState, SessionEvent, SessionState},
+        member::{self, MemberEvent, MemberPhase},
+        plan::{self, PlanEvent, PlanPhase},
+        promotion::{self, PromotionEvent, PromotionState},
+        state_chart::StateChart,
     },
     std::{fmt::Debug, str::FromStr},
     strum::IntoEnumIterator,
 };
 
-fn check<S, E>(chart: &Chart<S, E>)
+fn check<S, E>(chart: &StateChart<S, E>)
 where
     S: Copy + Ord + Debug + FromStr + IntoEnumIterator,
     E: Copy + Ord + Debug + FromStr + IntoEnumIterator,
@@ -25,17 +25,17 @@
 
 #[test]
 fn charts_are_whole() {
-    check::<SessionState, SessionEvent>(life::session());
-    check::<ConnState, ConnEvent>(life::connection());
-    check::<SwitchState, SwitchEvent>(switch::chart());
-    check::<Life, MemberEvent>(member::chart());
-    check::<Stage, PlanEvent>(plan::chart());
+    check::<SessionState, SessionEvent>(lifecycle::session_chart());
+    check::<ConnState, ConnEvent>(lifecycle::connection_chart());
+    check::<PromotionState, PromotionEvent>(promotion::chart());
+    check::<MemberPhase, MemberEvent>(member::chart());
+    check::<PlanPhase, PlanEvent>(plan::chart());
 }
 
 #[test]
 fn faults_in_a_chart_are_found() {
     let gap = "initial = \"free\"\nfinal = [\"closed\"]\nmoves = [[\"free\", \"lend\", \"busy\"]]";
-    let chart: Chart<ConnState, ConnEvent> = Chart::parse(gap).expect("it can be read");
+    let chart: StateChart<ConnState, ConnEvent> = StateChart::parse(gap).expect("it can be read");
     let states: Vec<ConnState> = ConnState::iter().collect();
     let events: Vec<ConnEvent> = ConnEvent::iter().collect();
     assert_eq!(chart.unreachable(&states), [ConnState::Pinned, ConnState::Closed]);
@@ -45,6 +45,6 @@
         "initial = \"free\"\nmoves = [[\"free\", \"lend\", \"busy\"], [\"free\", \"lend\", \"closed\"]]",
         "initial = 1",
     ] {
-        assert!(Chart::<ConnState, ConnEvent>::parse(bad).is_err(), "{bad}");
+        assert!(StateChart::<ConnState, ConnEvent>::parse(bad).is_err(), "{bad}");
     }
 }
--- a/crates/core/tests/leader.rs
+++ b/crates/core/tests/leader.rs
@@ -3,14 +3,14 @@
 //! Guards against taking a replica for the primary, or an outdated directory entry for the current one.
 
 use {
-    pondtrack_core::leader::{Evidence, Leader},
+    pondtrack_core::leader::{LeaderEvidence, LeaderRecord},
     pondtrack_proto::{Name, Term},
     rstest::rstest,
 };
 
-fn record(term: u64, server: &str) -> Option<Leader> {
+fn record(term: u64, server: &str) -> Option<LeaderRecord> {
     let server = (!server.is_empty()).then(|| server.into());
-    Some(Leader { term: Term(term), server })
+    Some(LeaderRecord { term: Term(term), server })
 }
 
 #[rstest]
@@ -23,12 +23,12 @@
 #[case::never_promoted_no_claimant(None, true, &[], None)]
 #[case::possibly_promoted_without_record(None, false, &["a"], None)]
 fn leader_is_proven_by_record_or_sole_claimant(
-    #[case] record: Option<Leader>,
+    #[case] record: Option<LeaderRecord>,
     #[case] complete: bool,
     #[case] claims: &[&str],
     #[case] leader: Option<&str>,
 ) {
     let claims: Vec<Name> = claims.iter().map(|name| (*name).into()).collect();
-    let evidence = Evidence { term: Term(3), record: record.as_ref(), complete, claims: &claims };
+    let evidence = LeaderEvidence { term: Term(3), record: record.as_ref(), complete, claimants: &claims };
     assert_eq!(evidence.leader().map(Name::as_str), leader);
 }
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -4,7 +4,7 @@
 //! and its revisions revert, so an earlier holder's writes and tokens could be mistaken for current ones.
 
 use {
-    pondtrack_core::lease::{Lease, LeaseRecord, Write},
+    pondtrack_core::lease::{ConditionalWrite, Lease, LeaseRecord},
     pondtrack_proto::{Name, Revision},
     rand::{Rng, RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
@@ -50,7 +50,7 @@
 /// A write that is applied after its sender has stopped waiting.
 struct DelayedWrite {
     at: u64,
-    write: Write,
+    write: ConditionalWrite,
 }
 
 struct Member {
@@ -77,7 +77,11 @@
 
 impl Store {
     /// Applies a write if its condition holds.
-    fn write(&mut self, write: &Write, now: u64) -> Result<Revision, Option<(LeaseRecord, Revision)>> {
+    fn write(
+        &mut self,
+        write: &ConditionalWrite,
+        now: u64,
+    ) -> Result<Revision, Option<(LeaseRecord, Revision)>> {
         let current = self.record.clone().map(|r| (r.0, Revision::new(self.era, r.1)));
         match (&current, write.revision) {
             (Some(found), Some(expected)) if found.1.number() == expected.number() => {}
@@ -165,7 +169,7 @@
                 self.act(at);
             }
         }
-        let held = self.members.iter().any(|m| m.lease.held().is_some_and(|held| now < held.until));
+        let held = self.members.iter().any(|m| m.lease.held().is_some_and(|held| now < held.expires_at));
         if let Some(since) = self.restored_at.filter(|at| held && *at <= now) {
             self.gaps.push(now - since);
             self.restored_at = None;
@@ -175,7 +179,7 @@
     fn act(&mut self, at: usize) {
         let now = self.now;
         self.members[at].next = now + self.rng.random_range(100..700) * MS;
-        if let Some(held) = self.members[at].lease.held().filter(|held| now < held.until) {
+        if let Some(held) = self.members[at].lease.held().filter(|held| now < held.expires_at) {
             // An order takes effect some time after it was sent.
             if self.rng.random_bool(0.3) {
                 self.orders.push((now + self.rng.random_range(0..MAX_ORDER), held.token, at));
@@ -185,20 +189,20 @@
             return;
         }
         let era = self.era();
-        self.members[at].lease.note_era(era, now);
+        self.members[at].lease.observe_era(era, now);
         let mine = self.members[at].lease.held().is_some();
         if !mine {
             let found = self.store.record.clone().map(|r| (self.read(r.0), Revision::new(era, r.1)));
-            self.members[at].lease.saw(found, now, now);
+            self.members[at].lease.observe(found, now, now);
         }
-        if mine || self.members[at].lease.may_take(now) {
+        if mine || self.members[at].lease.can_acquire(now) {
             self.write(at);
         }
     }
 
     fn write(&mut self, at: usize) {
         let (now, nonce) = (self.now, self.rng.next_u64());
-        let mut write = self.members[at].lease.write(nonce, now);
+        let mut write = self.members[at].lease.acquire_or_renew(nonce, now);
         if self.fault == Fault::TokenWithoutEra {
             write.record.token &= u64::from(u32::MAX);
         }
@@ -218,13 +222,13 @@
                 let lease = &mut self.members[at].lease;
                 match outcome {
                     Ok(revision) => {
-                        lease.written(record, Revision::new(era, revision.number()), now, answered)
+                        lease.write_succeeded(record, Revision::new(era, revision.number()), now, answered)
                     }
                     Err(current) => {
                         let current = current.map(|c| (c.0, Revision::new(era, c.1.number())));
                         match current {
-                            Some(current) => drop(lease.conflicted(Some(current), now, answered)),
-                            None => drop(lease.missed(now, answered)),
+                            Some(current) => drop(lease.write_conflicted(Some(current), now, answered)),
+                            None => drop(lease.record_missing(now, answered)),
                         }
                     }
                 }
@@ -279,21 +283,21 @@
 fn holder_reacquires_in_new_era_after_its_orders_end() {
     let (name, now) = (Name::from("a"), 1_000 * MS);
     let mut lease = Lease::new(name, true, now);
-    lease.note_era(0, now);
-    lease.saw(None, now, now);
-    assert!(lease.may_take(now));
-    let write = lease.write(1, now);
+    lease.observe_era(0, now);
+    lease.observe(None, now, now);
+    assert!(lease.can_acquire(now));
+    let write = lease.acquire_or_renew(1, now);
     assert_eq!((write.record.token, write.record.complete, write.revision), (1, true, None));
-    lease.written(write.record.clone(), Revision::new(0, 7), now, now);
+    lease.write_succeeded(write.record.clone(), Revision::new(0, 7), now, now);
     let later = now + 300 * MS;
-    assert!(lease.note_era(1, later));
+    assert!(lease.observe_era(1, later));
     assert!(lease.held().is_none(), "a lease of an earlier era has ended");
     let later = later + 800 * MS;
-    assert!(!lease.may_take(later), "before the record was read");
-    lease.saw(None, later, later);
-    assert!(!lease.may_take(later - 1), "while its own orders may be in flight");
-    assert!(lease.may_take(later));
-    let write = lease.write(2, later);
+    assert!(!lease.can_acquire(later), "before the record was read");
+    lease.observe(None, later, later);
+    assert!(!lease.can_acquire(later - 1), "while its own orders may be in flight");
+    assert!(lease.can_acquire(later));
+    let write = lease.acquire_or_renew(2, later);
     assert_eq!((write.record.token, write.record.complete), (1 << 32, false));
 }
 
@@ -301,14 +305,14 @@
 fn others_wait_in_new_era_until_earlier_holder_expired() {
     let now = 1_000 * MS;
     let mut lease = Lease::new("b".into(), false, now);
-    lease.note_era(3, now);
+    lease.observe_era(3, now);
     let record = LeaseRecord { holder: "a".into(), token: 9, nonce: 4, complete: true, era: 2 };
     for ms in [0, 600, 1_200, 1_800, 2_300] {
-        lease.saw(Some((record.clone(), Revision::new(3, 50))), now + ms * MS, now + ms * MS);
-        assert!(!lease.may_take(now + ms * MS), "after {ms} ms");
+        lease.observe(Some((record.clone(), Revision::new(3, 50))), now + ms * MS, now + ms * MS);
+        assert!(!lease.can_acquire(now + ms * MS), "after {ms} ms");
     }
     let then = now + 2_400 * MS;
-    lease.saw(Some((record, Revision::new(3, 50))), then, then);
-    assert!(lease.may_take(then));
-    assert_eq!(lease.write(5, then).record.token, 3 << 32);
+    lease.observe(Some((record, Revision::new(3, 50))), then, then);
+    assert!(lease.can_acquire(then));
+    assert_eq!(lease.acquire_or_renew(5, then).record.token, 3 << 32);
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -46,7 +46,7 @@
         state: MemberState::Alive,
     };
     let seeds = if n == 0 { Vec::new() } else { vec![addr(0)] };
-    let config = MemberConfig { choice, ..MemberConfig::default() };
+    let config = MemberConfig { peer_choice: choice, ..MemberConfig::default() };
     Members::new(me, seeds, config, n as u64 + incarnation)
 }
 
@@ -105,11 +105,11 @@
     }
 
     fn all_see(&self, alive: usize) -> bool {
-        self.live().all(|it| it.all().iter().filter(|m| m.state == MemberState::Alive).count() == alive)
+        self.live().all(|it| it.active().iter().filter(|m| m.state == MemberState::Alive).count() == alive)
     }
 
     fn all_hold(&self, key: &FactKey, version: u64) -> bool {
-        self.live().all(|it| it.spread.version(key) == version)
+        self.live().all(|it| it.facts.version(key) == version)
     }
 }
 
@@ -165,7 +165,7 @@
         }
     }
     assert!(fleet.until(120_000, |it| it.all_see(6)).is_some(), "each side goes on alone");
-    let out = fleet.nodes[0].as_mut().expect("up").learn(fact("parts", 7));
+    let out = fleet.nodes[0].as_mut().expect("up").publish(fact("parts", 7));
     fleet.send(0, out);
     fleet.cut.clear();
     assert!(fleet.until(120_000, |it| it.all_see(12)).is_some(), "and both join again");
@@ -205,14 +205,14 @@
     let key = fact("parts", 1).key;
     let mut highest = [0; 24];
     for version in [5, 6, 9] {
-        let out = fleet.nodes[version as usize].as_mut().expect("up").learn(fact("parts", version));
+        let out = fleet.nodes[version as usize].as_mut().expect("up").publish(fact("parts", version));
         fleet.send(version as usize, out);
         // An old version told again changes nothing.
-        let out = fleet.nodes[0].as_mut().expect("up").learn(fact("parts", version - 3));
+        let out = fleet.nodes[0].as_mut().expect("up").publish(fact("parts", version - 3));
         fleet.send(0, out);
         fleet.until(60_000, |it| it.all_hold(&key, version)).expect("in force everywhere");
         for (n, it) in fleet.live().enumerate() {
-            let now = it.spread.version(&key);
+            let now = it.facts.version(&key);
             assert!(now >= highest[n]);
             highest[n] = now;
         }
@@ -223,14 +223,14 @@
 fn an_instance_that_starts_during_an_outage_learns_from_its_peers() {
     let mut fleet = Fleet::new(6, 8, 0.0, Choice::Uniform);
     for n in 0..40 {
-        let out = fleet.nodes[1].as_mut().expect("up").learn(fact(&format!("db{n}"), n + 1));
+        let out = fleet.nodes[1].as_mut().expect("up").publish(fact(&format!("db{n}"), n + 1));
         fleet.send(1, out);
     }
     fleet.until(60_000, |it| it.all_see(6)).expect("joined");
     let key = fact("db39", 40).key;
     fleet.until(60_000, |it| it.all_hold(&key, 40)).expect("spread");
     fleet.nodes[4] = Some(node(4, 9, Choice::Uniform));
-    let all = |it: &Fleet| it.live().all(|m| m.spread.facts().len() == 40);
+    let all = |it: &Fleet| it.live().all(|m| m.facts.facts().len() == 40);
     assert!(fleet.until(30_000, all).is_some());
 }
 
@@ -261,7 +261,7 @@
     let mut fleet = Fleet::new(64, 10, 0.0, choice);
     fleet.until(200_000, |it| it.all_see(64)).expect("joined");
     let facts = |it: &Fleet| it.flight.iter().filter(|f| matches!(f.2.body, Payload::Facts { .. })).count();
-    let out = fleet.nodes[0].as_mut().expect("up").learn(fact("parts", 1));
+    let out = fleet.nodes[0].as_mut().expect("up").publish(fact("parts", 1));
     fleet.send(0, out);
     assert_eq!(facts(&fleet), FANOUT);
     let key = fact("parts", 1).key;
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -4,7 +4,7 @@
     pondtrack_core::{
         admit::{Admission, Admit, AdmitConfig, Turn},
         classify::{Stmt, classify},
-        detect::{Cause, DetectConfig, Detector, Heard, Opinion},
+        failure_detector::{Cause, DetectorConfig, FailureDetector, LastContact, Opinion},
         place,
         retry::{Backoff, Budget},
         route::{Candidate, RouteConfig, Target, choose},
@@ -274,38 +274,38 @@
     assert!(waits.iter().skip(5).all(|it| (50..=100).contains(it)), "{waits:?}");
 }
 
-fn detector() -> Detector {
-    Detector::new(DetectConfig::default(), 0)
+fn detector() -> FailureDetector {
+    FailureDetector::new(DetectorConfig::default(), 0)
 }
 
 #[rstest]
-#[case::well(Heard { last: Some(990), refused: None }, None, None)]
-#[case::silent(Heard { last: Some(500), refused: None }, None, Some(Cause::Silent))]
-#[case::refused(Heard { last: Some(990), refused: Some(800) }, None, Some(Cause::Refused))]
-#[case::stalled(Heard { last: Some(990), refused: None }, Some(400), Some(Cause::Stalled))]
+#[case::well(LastContact { answered_at: Some(990), refused_since: None }, None, None)]
+#[case::silent(LastContact { answered_at: Some(500), refused_since: None }, None, Some(Cause::Silent))]
+#[case::refused(LastContact { answered_at: Some(990), refused_since: Some(800) }, None, Some(Cause::Refused))]
+#[case::stalled(LastContact { answered_at: Some(990), refused_since: None }, Some(400), Some(Cause::Stalled))]
 fn a_primary_is_given_up_for_a_cause(
-    #[case] heard: Heard,
+    #[case] heard: LastContact,
     #[case] stalled: Option<u64>,
     #[case] cause: Option<Cause>,
 ) {
-    assert_eq!(detector().judge(1_000, 0, Some(&heard), None, stalled), cause);
+    assert_eq!(detector().evaluate(1_000, 0, Some(&heard), None, stalled), cause);
 }
 
 #[test]
 fn absence_counts_from_its_beginning_and_lower_ranks_wait_longer() {
     let it = detector();
-    assert_eq!(it.judge(10_000, 0, None, Some(9_990), None), None);
-    assert_eq!(it.judge(10_400, 0, None, Some(9_990), None), Some(Cause::Absent));
-    assert_eq!(it.judge(10_400, 1, None, Some(9_990), None), None);
+    assert_eq!(it.evaluate(10_000, 0, None, Some(9_990), None), None);
+    assert_eq!(it.evaluate(10_400, 0, None, Some(9_990), None), Some(Cause::Absent));
+    assert_eq!(it.evaluate(10_400, 1, None, Some(9_990), None), None);
 }
 
 #[test]
 fn after_a_pause_of_its_own_an_instance_starts_from_nothing() {
     let mut it = detector();
-    assert!(!it.look(1_000));
-    assert!(it.look(9_000));
-    let heard = Heard { last: Some(1_000), refused: None };
-    assert_eq!(it.judge(9_010, 0, Some(&heard), None, Some(1_000)), None);
+    assert!(!it.poll(1_000));
+    assert!(it.poll(9_000));
+    let heard = LastContact { answered_at: Some(1_000), refused_since: None };
+    assert_eq!(it.evaluate(9_010, 0, Some(&heard), None, Some(1_000)), None);
 }
 
 #[test]
--- a/crates/core/tests/safety.rs
+++ b/crates/core/tests/safety.rs
@@ -2,11 +2,11 @@
 
 use {
     pondtrack_core::{
-        fresh::Freshness,
-        gate::{Gate, Verdict},
-        grant::{self, BLOCK, Grants},
+        commit_gate::{AckStatus, CommitGate},
+        freshness::Freshness,
+        promotion::{Action, Promotion, PromotionState},
         request_key::{self, KeyError, WINDOW_MS},
-        switch::{Action, Switch, SwitchState},
+        term_pool::{self, BLOCK_SIZE, TermPool},
         token::Token,
     },
     pondtrack_proto::{Lsn, Mark, Term, TermRecord},
@@ -15,9 +15,9 @@
 
 const PRIMARY: usize = 0;
 
-fn gate() -> Gate {
-    let mut it = Gate::new(3, 2);
-    it.begin(Term(2));
+fn gate() -> CommitGate {
+    let mut it = CommitGate::new(3, 2);
+    it.begin_term(Term(2));
     it
 }
 
@@ -25,12 +25,12 @@
 fn one_replica_of_three_opens_the_gate_for_all_behind_it() {
     let mut it = gate();
     it.observe(PRIMARY, Term(2), Mark::new(2, 9));
-    let tickets: Vec<_> = [7, 8, 9].map(|lsn| it.hold(Term(2), Lsn(lsn))).into_iter().collect();
+    let tickets: Vec<_> = [7, 8, 9].map(|lsn| it.request_ack(Term(2), Lsn(lsn))).into_iter().collect();
     let open = it.observe(1, Term(2), Mark::new(2, 8));
     assert_eq!(open.len(), 2);
-    assert_eq!(tickets[0], Verdict::Wait(open[0]));
-    assert_eq!(it.waiting(), 1);
-    assert_eq!(it.hold(Term(2), Lsn(8)), Verdict::Open);
+    assert_eq!(tickets[0], AckStatus::Pending(open[0]));
+    assert_eq!(it.pending(), 1);
+    assert_eq!(it.request_ack(Term(2), Lsn(8)), AckStatus::Ready);
 }
 
 #[rstest]
@@ -41,27 +41,27 @@
 fn what_does_not_count_for_a_majority(#[case] term: Term, #[case] last: Mark) {
     let mut it = gate();
     it.observe(PRIMARY, Term(2), Mark::new(2, 9));
-    assert!(matches!(it.hold(Term(2), Lsn(9)), Verdict::Wait(_)));
+    assert!(matches!(it.request_ack(Term(2), Lsn(9)), AckStatus::Pending(_)));
     assert!(it.observe(1, term, last).is_empty());
-    assert_eq!(it.waiting(), 1);
+    assert_eq!(it.pending(), 1);
 }
 
 #[test]
 fn a_new_term_breaks_what_waits_and_refuses_the_old() {
     let mut it = gate();
-    assert!(matches!(it.hold(Term(2), Lsn(5)), Verdict::Wait(_)));
-    assert_eq!(it.begin(Term(3)).len(), 1);
-    assert_eq!(it.hold(Term(2), Lsn(1)), Verdict::Broken);
-    assert_eq!(it.durable(), Lsn(0));
+    assert!(matches!(it.request_ack(Term(2), Lsn(5)), AckStatus::Pending(_)));
+    assert_eq!(it.begin_term(Term(3)).len(), 1);
+    assert_eq!(it.request_ack(Term(2), Lsn(1)), AckStatus::Superseded);
+    assert_eq!(it.commit_lsn(), Lsn(0));
 }
 
-fn fence(it: &mut Switch, server: usize, last: Mark) -> Vec<Action> {
-    it.fenced(server, Term(5), last)
+fn fence(it: &mut Promotion, server: usize, last: Mark) -> Vec<Action> {
+    it.on_fenced(server, Term(5), last)
 }
 
 #[test]
 fn a_switch_waits_for_the_preferred_server_and_takes_it_among_equals() {
-    let (mut it, first) = Switch::begin(3, 2, Term(5), Some(1), Vec::new(), None);
+    let (mut it, first) = Promotion::start(3, 2, Term(5), Some(1), Vec::new(), None);
     assert_eq!(first.len(), 3);
     let last = Mark::new(4, 9);
     assert!(fence(&mut it, 0, last).is_empty());
@@ -72,30 +72,30 @@
 
 #[test]
 fn a_switch_goes_on_without_the_preferred_server_and_takes_the_highest_log() {
-    let (mut it, _) = Switch::begin(3, 2, Term(5), Some(1), Vec::new(), None);
+    let (mut it, _) = Promotion::start(3, 2, Term(5), Some(1), Vec::new(), None);
     fence(&mut it, 0, Mark::new(4, 8));
     fence(&mut it, 2, Mark::new(4, 9));
-    assert_eq!(it.hurry(), [Action::Promote { server: 2, term: Term(5) }]);
-    assert!(it.hurry().is_empty(), "one promotion at most");
+    assert_eq!(it.skip_preferred(), [Action::Promote { server: 2, term: Term(5) }]);
+    assert!(it.skip_preferred().is_empty(), "one promotion at most");
     assert!(fence(&mut it, 1, Mark::new(4, 10)).is_empty());
-    assert_eq!(it.promoted(2, Term(5)).len(), 2);
-    assert_eq!(it.state, SwitchState::Done);
+    assert_eq!(it.on_promoted(2, Term(5)).len(), 2);
+    assert_eq!(it.state, PromotionState::Done);
 }
 
 #[test]
 fn a_stalled_primary_is_not_fenced() {
-    let (_, first) = Switch::begin(3, 2, Term(5), None, Vec::new(), Some(0));
+    let (_, first) = Promotion::start(3, 2, Term(5), None, Vec::new(), Some(0));
     assert!(first.iter().all(|it| !matches!(it, Action::Fence { server: 0, .. })));
 }
 
 #[test]
 fn no_term_is_granted_twice() {
     let mut record = TermRecord::default();
-    let (mut a, mut b) = (Grants::default(), Grants::default());
+    let (mut a, mut b) = (TermPool::default(), TermPool::default());
     let mut taken = Vec::new();
     for change in 0..4 {
         for it in [&mut a, &mut b] {
-            let (next, block) = grant::give(&record, Term(3), change);
+            let (next, block) = term_pool::allocate_block(&record, Term(3), change);
             record = next;
             it.add(block.0, block.1);
             taken.push(it.take(Term(3)).expect("just granted"));
@@ -110,11 +110,11 @@
 
 #[test]
 fn shared_terms_are_nobody_elses() {
-    let mut giver = Grants::default();
-    giver.add(Term(2), Term(2 + BLOCK));
+    let mut giver = TermPool::default();
+    giver.add(Term(2), Term(2 + BLOCK_SIZE));
     let mut taken = Vec::new();
     let mut parts = 0;
-    while let Some((first, end)) = giver.share(Term(3)) {
+    while let Some((first, end)) = giver.split_off(Term(3)) {
         parts += 1;
         taken.extend((first.0..end.0).map(Term));
     }
@@ -122,25 +122,25 @@
         taken.push(it);
     }
     taken.sort_unstable();
-    let all: Vec<Term> = (4..2 + BLOCK).map(Term).collect();
+    let all: Vec<Term> = (4..2 + BLOCK_SIZE).map(Term).collect();
     assert_eq!(taken, all, "each term above the known one, once");
     assert!(parts >= 8, "one part for each of the other homes, after several changes");
 }
 
 #[test]
 fn a_last_term_is_kept() {
-    let mut it = Grants::default();
+    let mut it = TermPool::default();
     it.add(Term(2), Term(4));
-    assert_eq!(it.share(Term(2)), None);
+    assert_eq!(it.split_off(Term(2)), None);
     assert_eq!(it.take(Term(2)), Some(Term(3)));
 }
 
 #[test]
 fn terms_below_the_known_one_are_forgotten() {
-    let mut it = Grants::default();
-    it.add(Term(2), Term(2 + BLOCK));
+    let mut it = TermPool::default();
+    it.add(Term(2), Term(2 + BLOCK_SIZE));
     assert_eq!(it.take(Term(5)), Some(Term(6)));
-    assert_eq!(it.take(Term(2 + BLOCK)), None);
+    assert_eq!(it.take(Term(2 + BLOCK_SIZE)), None);
     assert!(it.is_low());
 }
 
--- a/crates/core/tests/sightings.rs
+++ b/crates/core/tests/sightings.rs
@@ -3,8 +3,8 @@
 use {
     pondtrack_core::{
         Time,
-        fresh::{self, Freshness},
-        gate::Gate,
+        commit_gate::CommitGate,
+        freshness::{self, Freshness},
     },
     pondtrack_proto::{Lsn, Mark, Term},
     rand::{RngExt, SeedableRng},
@@ -61,7 +61,7 @@
 /// An instance's evidence.
 struct Seen {
     fresh: Freshness,
-    gate: Gate,
+    gate: CommitGate,
     /// What it tells: the latest account of each server.
     known: [Option<Account>; 2],
     offset: Time,
@@ -69,12 +69,12 @@
 
 impl Seen {
     fn new(offset: Time) -> Seen {
-        Seen { fresh: Freshness::new(2, 1), gate: Gate::new(2, 1), known: [None; 2], offset }
+        Seen { fresh: Freshness::new(2, 1), gate: CommitGate::new(2, 1), known: [None; 2], offset }
     }
 
     fn take(&mut self, it: Account) {
-        self.fresh.begin(it.at.term);
-        self.gate.begin(it.at.term);
+        self.fresh.begin_term(it.at.term);
+        self.gate.begin_term(it.at.term);
         match it.server {
             PRIMARY => self.fresh.observe(it.at.term, it.at, it.asked),
             _ => {
@@ -141,7 +141,7 @@
 /// What is handed out holds all that had been acknowledged by then, and nothing is let out that no replica has.
 fn check(truth: &Truth, seen: &Seen, now: Time, rng: &mut Pcg64Mcg, shown: &mut Shown) {
     let since = now - seen.offset - rng.random_range(0..400);
-    if let Some((at, needed)) = seen.fresh.needed(since) {
+    if let Some((at, needed)) = seen.fresh.required_position(since) {
         let known = truth.acknowledged(at.min(now - seen.offset) + seen.offset);
         assert!(at >= since && needed.lsn >= known, "{needed:?} at {at} lacks {known:?}");
         // A term that had ended by then is never taken for confirmed.
@@ -149,7 +149,7 @@
         assert!(needed.lsn <= truth.log(PRIMARY, now).lsn, "{needed:?} is of the future");
         shown.handed += 1;
     }
-    let durable = seen.gate.durable();
+    let durable = seen.gate.commit_lsn();
     assert!(durable <= truth.log(REPLICA, now).lsn, "{durable:?} is let out, and no replica has it");
     shown.let_out += usize::from(durable > Lsn(0));
 }
@@ -158,7 +158,7 @@
 fn what_was_told_late_and_in_any_order_is_never_taken_for_younger_than_it_is() {
     let mut all = Shown::default();
     for seed in 0..SEEDS {
-        let it = schedule(seed, fresh::age, fresh::asked);
+        let it = schedule(seed, freshness::age, freshness::asked_at);
         all.handed += it.handed;
         all.let_out += it.let_out;
     }
@@ -170,7 +170,7 @@
 #[should_panic(expected = "lacks")]
 fn an_age_that_counts_from_the_answer_is_found_by_the_same_schedules() {
     for seed in 0..SEEDS {
-        schedule(seed, fresh::age, |sent, age| fresh::asked(sent + CROSSING, age));
+        schedule(seed, freshness::age, |sent, age| freshness::asked_at(sent + CROSSING, age));
     }
 }
 
@@ -178,6 +178,6 @@
 #[should_panic(expected = "lacks")]
 fn ages_that_do_not_add_up_are_found_by_the_same_schedules() {
     for seed in 0..SEEDS {
-        schedule(seed, |_, _| 0, fresh::asked);
+        schedule(seed, |_, _| 0, freshness::asked_at);
     }
 }
--- a/crates/engine/src/group.rs
+++ b/crates/engine/src/group.rs
@@ -17,7 +17,10 @@
         },
         upstream::Upstream,
     },
-    pondtrack_core::{balance::Offer, claim::Claim, fresh::Freshness, gate::Gate, leader::Leader},
+    pondtrack_core::{
+        balance::Offer, commit_gate::CommitGate, freshness::Freshness, leader::LeaderRecord,
+        primary_claim::PrimaryClaim,
+    },
     pondtrack_proto::{Lsn, Mark, Name, Term},
     std::{
         cell::{Cell, RefCell},
@@ -52,11 +55,11 @@
     leader: Cell<Option<(Term, usize)>>,
     absent: Cell<Option<Micros>>,
     /// Whether the term's primary holds what its replicas have.
-    claim: Cell<Claim>,
+    claim: Cell<PrimaryClaim>,
     /// How often a server started again or lost its log.
     forgotten: Cell<u64>,
     fresh: RefCell<Freshness>,
-    gate: RefCell<Gate>,
+    gate: RefCell<CommitGate>,
     /// Questions about it to other instances.
     inquiry: Inquiry,
 }
@@ -76,7 +79,7 @@
             claim: Cell::default(),
             forgotten: Cell::default(),
             fresh: RefCell::new(Freshness::new(0, REPLICAS)),
-            gate: RefCell::new(Gate::new(0, REPLICAS)),
+            gate: RefCell::new(CommitGate::new(0, REPLICAS)),
             inquiry: Inquiry::default(),
         }
     }
@@ -104,10 +107,10 @@
     }
 
     /// Who was last seen to lead, and in which term.
-    pub fn leader(&self) -> Option<Leader> {
+    pub fn leader(&self) -> Option<LeaderRecord> {
         let (term, at) = self.leader.get()?;
         let server = self.servers.borrow()[at].entry().id.clone();
-        Some(Leader { term, server: Some(server) })
+        Some(LeaderRecord { term, server: Some(server) })
     }
 
     /// Since when no primary is known.
@@ -186,7 +189,8 @@
         loop {
             let changed = self.changed.notified();
             let now = inst.now();
-            let needed = self.fresh.borrow().needed(now.saturating_sub(age)).filter(|_| self.is_clear());
+            let needed =
+                self.fresh.borrow().required_position(now.saturating_sub(age)).filter(|_| self.is_clear());
             self.renew(inst, now, age, needed.is_some());
             if needed.is_some() {
                 return needed;
@@ -252,7 +256,7 @@
             let answered = timeout(ASK_OTHERS, self.changed.notified()).await.is_ok();
             let (known, durable) = {
                 let it = self.gate.borrow();
-                (it.term(), it.durable())
+                (it.term(), it.commit_lsn())
             };
             match known == term && durable >= at {
                 true if self.is_clear() => return true,
--- a/crates/engine/src/group/evidence.rs
+++ b/crates/engine/src/group/evidence.rs
@@ -9,8 +9,8 @@
         upstream::Upstream,
     },
     pondtrack_core::{
-        claim::Verdict,
-        recovery::{Recovery, Witness},
+        primary_claim::ClaimStatus,
+        recovery::{Recovery, ReplicaReport},
     },
     pondtrack_proto::{Mark, Name, Term},
     std::rc::Rc,
@@ -32,16 +32,16 @@
     /// Whether a server calls itself the primary of the newest term and has lost its log.
     pub fn lacks(&self, it: &Upstream) -> bool {
         let claim = self.claim.get();
-        claim.claimant() == Some(it.index) && claim.verdict() == Verdict::Lacks
+        claim.claimant() == Some(it.index) && claim.status() == ClaimStatus::LogLost
     }
 
     /// What a server showed no longer counts.
     pub(super) fn forget(&self, it: &Upstream, now: Micros) {
         self.forgotten.set(self.forgotten.get() + 1);
-        self.fresh.borrow_mut().forget(it.index);
-        self.gate.borrow_mut().forget_server(it.index);
+        self.fresh.borrow_mut().reset_server(it.index);
+        self.gate.borrow_mut().reset_server(it.index);
         if self.primary.get() == Some(it.index) {
-            self.fresh.borrow_mut().forget_primary();
+            self.fresh.borrow_mut().reset_primary();
             self.lose_primary(now);
         }
     }
@@ -78,7 +78,7 @@
         if status.term > self.term.get() {
             self.begin(status.term, now);
         }
-        it.recover(|recovery| recovery.heard(self.term.get()));
+        it.recover(|recovery| recovery.observe_term(self.term.get()));
         let leads = self.judge_claim(it, status, sent, now);
         match self.primary.get() {
             _ if leads => self.found_primary(it.index, now),
@@ -115,27 +115,27 @@
         }
         let (leads, at) = (status.role == Role::Primary, status.received);
         let mut claim = self.claim.get();
-        let before = claim.verdict();
+        let before = claim.status();
         match status.role {
-            Role::Primary => claim.shows(it.index, at.lsn, sent),
+            Role::Primary => claim.observe_primary(it.index, at.lsn, sent),
             // What it received in earlier terms may have to be dropped.
-            Role::Replica if at.term == status.term => claim.received(at.lsn, now),
+            Role::Replica if at.term == status.term => claim.observe_replica(at.lsn, now),
             Role::Replica => {}
         }
         self.claim.set(claim);
         for known in self.servers.borrow().iter() {
             known.recover(|recovery| match status.role {
-                Role::Primary => recovery.led(at, sent),
-                Role::Replica => recovery.received(at),
+                Role::Primary => recovery.observe_primary(at, sent),
+                Role::Replica => recovery.observe_replica(at),
             });
         }
-        match claim.verdict() {
-            Verdict::Holds => return leads,
-            Verdict::Open => self.ask_again(now),
-            Verdict::Lacks if before != Verdict::Lacks => self.note_loss(it, status, now),
-            Verdict::Lacks => {}
+        match claim.status() {
+            ClaimStatus::Valid => return leads,
+            ClaimStatus::Unverified => self.ask_again(now),
+            ClaimStatus::LogLost if before != ClaimStatus::LogLost => self.note_loss(it, status, now),
+            ClaimStatus::LogLost => {}
         }
-        leads && claim.verdict() == Verdict::Open
+        leads && claim.status() == ClaimStatus::Unverified
     }
 
     /// Asks the primary again, as a replica has more than it showed.
@@ -147,7 +147,7 @@
 
     /// Whether nothing speaks against the primary.
     pub(super) fn is_clear(&self) -> bool {
-        self.claim.get().verdict() == Verdict::Holds
+        self.claim.get().status() == ClaimStatus::Valid
     }
 
     /// Whether a replica's word counts in a term.
@@ -159,16 +159,17 @@
         let witness = |other: &Rc<Upstream>| {
             let (asked, status) = other.status()?;
             let receives = status.role == Role::Replica && status.paused.is_none();
-            Some(Witness { asked, term: status.term, receives })
+            Some(ReplicaReport { asked_at: asked, term: status.term, receiving: receives })
         };
-        recovery.counts(term, others.map(witness))
+        recovery.counts_for_quorum(term, others.map(witness))
     }
 
     /// A replica that came back with nothing, where what was acknowledged with its word may be held by the primary alone.
     pub fn unrecovered(&self) -> Option<Name> {
         let servers = self.servers.borrow();
         let led = self.leader.get().map(|it| servers[it.1].entry().id.clone());
-        let unrecovered = |it: &Upstream| !it.is_gone() && it.recovery.get().is_some_and(|it| !it.is_whole());
+        let unrecovered =
+            |it: &Upstream| !it.is_gone() && it.recovery.get().is_some_and(|it| !it.is_recovered());
         let it = servers.iter().find(|it| unrecovered(it) && Some(&it.entry().id) != led.as_ref())?;
         Some(it.entry().id.clone())
     }
@@ -190,8 +191,8 @@
 
     pub(super) fn begin(&self, term: Term, now: Micros) {
         self.term.set(term);
-        self.fresh.borrow_mut().begin(term);
-        self.gate.borrow_mut().begin(term);
+        self.fresh.borrow_mut().begin_term(term);
+        self.gate.borrow_mut().begin_term(term);
         self.claim.take();
         self.lose_primary(now);
     }
--- a/crates/engine/src/group/sightings.rs
+++ b/crates/engine/src/group/sightings.rs
@@ -16,7 +16,7 @@
         upstream::Upstream,
     },
     futures::future::join_all,
-    pondtrack_core::fresh,
+    pondtrack_core::freshness,
     pondtrack_proto::Name,
     std::{
         cell::{Cell, RefCell},
@@ -78,7 +78,7 @@
     }
     let sighting = |up: &Rc<Upstream>| {
         let (sent, status) = up.status()?;
-        Some(Sighting { server: up.entry().as_ref().into(), status, age: fresh::age(came, sent) })
+        Some(Sighting { server: up.entry().as_ref().into(), status, age: freshness::age(came, sent) })
     };
     servers.iter().filter_map(sighting).collect()
 }
@@ -140,7 +140,7 @@
     /// Takes in what another instance knows, which was asked at `sent`.
     pub fn hear(&self, told: &[Sighting], sent: Micros, now: Micros) {
         for it in told {
-            let Some(asked) = fresh::asked(sent, it.age) else { continue };
+            let Some(asked) = freshness::asked_at(sent, it.age) else { continue };
             let known = self.present(&it.server.id).filter(|up| !up.is_gone());
             if let Some(up) = known.filter(|up| up.entry().incarnation == it.server.incarnation) {
                 self.was_told(&up, it.status, asked, now);
--- a/crates/engine/src/leaders.rs
+++ b/crates/engine/src/leaders.rs
@@ -12,7 +12,7 @@
         model::Role,
         ports::{Collection, Object, Record, StoreError},
     },
-    pondtrack_core::leader::{Evidence, Leader},
+    pondtrack_core::leader::{LeaderEvidence, LeaderRecord},
     pondtrack_proto::{Name, Revision, Term},
     std::{
         cell::{Cell, RefCell},
@@ -35,7 +35,7 @@
 pub struct Leaders {
     read: RefCell<Option<Read>>,
     /// First records that changes of primary wait for.
-    wanted: RefCell<Vec<(Name, Leader)>>,
+    wanted: RefCell<Vec<(Name, LeaderRecord)>>,
     /// Whether the store is being called.
     calling: Cell<bool>,
     /// No call before this.
@@ -55,7 +55,7 @@
 struct Known {
     group: Name,
     revision: Revision,
-    leader: Leader,
+    leader: LeaderRecord,
 }
 
 /// A record that is to be written.
@@ -63,7 +63,7 @@
     group: Name,
     /// The store's revision of the one that it replaces.
     revision: Option<Revision>,
-    leader: Leader,
+    leader: LeaderRecord,
 }
 
 impl Leaders {
@@ -117,13 +117,14 @@
         let record = |group: &str| find(known, group).ok().map(|at| &known[at]);
         let seen = inst.groups().into_iter().filter_map(|it| {
             let (leader, old) = (it.leader()?, record(&it.name));
-            let is_new = old.is_none_or(|it| it.leader.is_older(&leader));
+            let is_new = old.is_none_or(|it| it.leader.is_older_than(&leader));
             is_new.then(|| Due { group: it.name.clone(), revision: old.map(|it| it.revision), leader })
         });
         let mut due: Vec<Due> = seen.collect();
         let mut wanted = self.wanted.borrow_mut();
         wanted.retain(|it| record(&it.0).is_none() && due.iter().all(|due| due.group != it.0));
-        let first = |it: &(Name, Leader)| Due { group: it.0.clone(), revision: None, leader: it.1.clone() };
+        let first =
+            |it: &(Name, LeaderRecord)| Due { group: it.0.clone(), revision: None, leader: it.1.clone() };
         due.extend(wanted.iter().map(first));
         due
     }
@@ -173,13 +174,18 @@
         let (term, complete) = (group.term(), inst.tenure.is_complete());
         self.with_known(inst, |known| {
             let record = find(known, &group.name).ok().map(|at| &known[at].leader);
-            Evidence { term, record, complete, claims: &claims }.leader().cloned()
+            LeaderEvidence { term, record, complete, claimants: &claims }.leader().cloned()
         })?
     }
 
     /// Waits until a group has a record: `leader` if it had none. Hands it back; none if the store doesn't answer in
     /// time, or the lease is lost.
-    pub async fn ensure(&self, inst: &Rc<Instance>, group: &Name, leader: Leader) -> Option<Leader> {
+    pub async fn ensure(
+        &self,
+        inst: &Rc<Instance>,
+        group: &Name,
+        leader: LeaderRecord,
+    ) -> Option<LeaderRecord> {
         let end = Instant::now() + FIRST_LIMIT;
         loop {
             let changed = self.changed.notified();
@@ -209,7 +215,7 @@
         // It says nothing of who led, but that there was a record; the next one replaces it.
         other => {
             log::error!(group = group.as_str(); "the record of who led is unreadable: {other:?}");
-            Leader { term: Term(0), server: None }
+            LeaderRecord { term: Term(0), server: None }
         }
     };
     Some(Known { group, revision, leader })
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -7,7 +7,7 @@
         instance::{Instance, Micros},
         ports::{Collection, LeaseRecord, Object, Record, StoreError},
     },
-    pondtrack_core::lease::{Held, Lease, Write},
+    pondtrack_core::lease::{ConditionalWrite, HeldLease, Lease},
     pondtrack_proto::{Name, Revision},
     std::{cell::Cell, rc::Rc, time::Duration},
     tokio::time::{sleep, timeout},
@@ -31,13 +31,13 @@
 /// The right as this instance has it.
 #[derive(Default)]
 pub struct Tenure {
-    held: Cell<Option<Held>>,
+    held: Cell<Option<HeldLease>>,
 }
 
 impl Tenure {
     /// The fencing token, while orders may be given under it in an era of the store.
     pub fn token(&self, era: u64, now: Micros) -> Option<u64> {
-        self.held.get().filter(|it| now < it.until && it.era == era).map(|it| it.token)
+        self.held.get().filter(|it| now < it.expires_at && it.era == era).map(|it| it.token)
     }
 
     /// Whether every holder so far recorded a group in [`crate::leaders`] before its first promotion.
@@ -92,7 +92,7 @@
             () => return LOOK,
         };
         self.look().await;
-        if self.lease.may_take(self.inst.now()) {
+        if self.lease.can_acquire(self.inst.now()) {
             self.write().await;
             if let Some(token) = self.inst.token() {
                 log::info!(token; "the right to promote is taken");
@@ -106,7 +106,7 @@
         let Some(era) = self.inst.era() else { return };
         let now = self.inst.now();
         let had = self.lease.held().is_some();
-        if self.lease.note_era(era, now) {
+        if self.lease.observe_era(era, now) {
             self.returned = Some(now);
             self.inst.counters.one(Count::StoreReturns);
             log::warn!(era, had; "the store came back from an older copy: what it granted before is over");
@@ -129,7 +129,7 @@
             Ok(it) => {
                 self.note_era();
                 let found = it.items.into_iter().find(|it| it.name == NAME);
-                self.lease.saw(found.and_then(record), sent, self.inst.now());
+                self.lease.observe(found.and_then(record), sent, self.inst.now());
             }
             Err(e) => log::debug!(step = "lease"; "{e}"),
         }
@@ -138,7 +138,7 @@
     /// Takes the right, or renews it; what becomes of that decides whether this instance holds it.
     async fn write(&mut self) {
         let (nonce, sent) = (self.inst.random(u64::MAX), self.inst.now());
-        let Write { record, revision } = self.lease.write(nonce, sent);
+        let ConditionalWrite { record, revision } = self.lease.acquire_or_renew(nonce, sent);
         let token = record.token;
         let outcome = match timeout(RENEW_LIMIT, self.put(record.clone(), revision)).await {
             Ok(it) => it,
@@ -149,14 +149,14 @@
         let kept = match outcome {
             Ok(revision) => {
                 self.failing = false;
-                self.lease.written(record, revision, sent, now);
+                self.lease.write_succeeded(record, revision, sent, now);
                 true
             }
             Err(StoreError::Conflict { current }) => {
                 self.failing = false;
-                self.lease.conflicted(current.and_then(|it| self::record(*it)), sent, now)
+                self.lease.write_conflicted(current.and_then(|it| self::record(*it)), sent, now)
             }
-            Err(StoreError::Missing) => self.lease.missed(sent, now),
+            Err(StoreError::Missing) => self.lease.record_missing(sent, now),
             Err(e) => {
                 self.inst.counters.one(Count::StoreFailures);
                 if !std::mem::replace(&mut self.failing, true) {
@@ -179,7 +179,7 @@
 
     /// Gives the right up, so that another instance need not wait.
     async fn release(&mut self) {
-        let Some(Write { record, revision }) = self.lease.release() else { return };
+        let Some(ConditionalWrite { record, revision }) = self.lease.release() else { return };
         self.show();
         let token = record.token;
         match self.put(record, revision).await {
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -17,7 +17,7 @@
     strum::{Display, IntoStaticStr},
 };
 
-pub use pondtrack_core::{capacity::Capacity, leader::Leader, lease::LeaseRecord};
+pub use pondtrack_core::{capacity::Capacity, leader::LeaderRecord, lease::LeaseRecord};
 
 /// Bytes that are not a message of the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
@@ -127,7 +127,7 @@
     /// A lease.
     Lease(LeaseRecord),
     /// Who led a group.
-    Leader(Leader),
+    Leader(LeaderRecord),
     /// An object that can't be read, with the reason.
     Unreadable(String),
 }
--- a/crates/engine/src/takeover/change.rs
+++ b/crates/engine/src/takeover/change.rs
@@ -12,7 +12,7 @@
         upstream::Upstream,
     },
     futures::future::join_all,
-    pondtrack_core::leader::Leader,
+    pondtrack_core::leader::LeaderRecord,
     pondtrack_proto::{Lsn, Mark, Name, Term},
     std::{rc::Rc, time::Duration},
     tokio::time::{Instant, sleep},
@@ -68,7 +68,7 @@
         let target = self.stop_others(&others, &target, old.as_ref()).await?;
         // No promotion is ordered in a group without a record.
         let server = old.as_ref().map(|it| it.entry().id.clone());
-        let led = match self.record(Leader { term: self.term, server }).await {
+        let led = match self.record(LeaderRecord { term: self.term, server }).await {
             Some(_) => self.promote(&target).await,
             None => Err("the store doesn't take who led"),
         };
@@ -125,13 +125,13 @@
         let (Some(it), None, true) = (rest.next(), rest.next(), is_settled) else { return None };
         let leader = self.inst.leaders.proved(self.inst, self.group).filter(|id| *id == it.entry().id)?;
         log::info!(group = self.group.name.as_str(), server = leader.as_str(), term = self.term.0; "leads, and was never heard here");
-        let proof = Leader { term: self.term, server: Some(leader) };
+        let proof = LeaderRecord { term: self.term, server: Some(leader) };
         // What another instance recorded meanwhile goes first.
         (self.record(proof.clone()).await? == proof).then(|| it.clone())
     }
 
     /// The record of who led the group; `leader` becomes it if there was none. None if the store doesn't answer.
-    async fn record(&self, leader: Leader) -> Option<Leader> {
+    async fn record(&self, leader: LeaderRecord) -> Option<LeaderRecord> {
         self.inst.leaders.ensure(self.inst, &self.group.name, leader).await
     }
 
--- a/crates/pondtrackd/src/control.rs
+++ b/crates/pondtrackd/src/control.rs
@@ -136,7 +136,7 @@
 /// This instance's own report.
 pub fn report(node: &Rc<Node>) -> InstanceStatus {
     let members = node.members.borrow();
-    let own = std::iter::once(&members.me).chain(members.others());
+    let own = std::iter::once(&members.local).chain(members.others());
     let member = |it: &pondtrack_proto::MemberView| MemberStatus {
         name: it.name.clone(),
         zone: it.zone.clone(),
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -15,7 +15,7 @@
     pgwire::messages::response::EmptyQueryResponse,
     pondtrack_core::{
         classify::Stmt,
-        life::{self, SessionEvent, SessionState},
+        lifecycle::{self, SessionEvent, SessionState},
         token::Token,
     },
     pondtrack_edge::{
@@ -83,7 +83,7 @@
             handle,
             caller,
             group,
-            state: life::session().initial,
+            state: lifecycle::session_chart().initial,
             lost: false,
             home: None,
             statements: Statements::default(),
@@ -401,7 +401,7 @@
         self.apply(match txn {
             TxnState::Idle => SessionEvent::Settled,
             TxnState::Open => SessionEvent::Opened,
-            TxnState::Failed => SessionEvent::Broke,
+            TxnState::Failed => SessionEvent::Failed,
         });
         BytesMut::from(batch.clean(frames).as_slice())
     }
@@ -468,7 +468,7 @@
             self.apply(SessionEvent::Settled);
         } else if inside {
             self.lost = true;
-            self.apply(SessionEvent::Broke);
+            self.apply(SessionEvent::Failed);
         } else {
             self.saved = None;
         }
@@ -534,7 +534,7 @@
             forward::close(&self.node, self.handle.stream, &home);
         }
         self.lost = true;
-        self.apply(SessionEvent::Broke);
+        self.apply(SessionEvent::Failed);
     }
 
     fn ready_only(&self) -> BytesMut {
@@ -573,7 +573,7 @@
     }
 
     fn apply(&mut self, event: SessionEvent) {
-        match life::session().next(self.state, event) {
+        match lifecycle::session_chart().next(self.state, event) {
             Ok(next) => self.state = next,
             Err(e) => log::error!(step = "session"; "{e}"),
         }
--- a/crates/pondtrackd/src/gossip.rs
+++ b/crates/pondtrackd/src/gossip.rs
@@ -51,7 +51,7 @@
 
 /// Takes a fact learned from the platform and pushes it if it is news.
 pub fn learn(node: &Rc<Node>, fact: Fact) {
-    let out = node.members.borrow_mut().learn(fact);
+    let out = node.members.borrow_mut().publish(fact);
     apply(node, out);
 }
 
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -9,8 +9,8 @@
     },
     pondtrack_core::{
         Time,
-        detect::{Cause, Opinion},
-        switch::{Action, Switch, SwitchState},
+        failure_detector::{Cause, Opinion},
+        promotion::{Action, Promotion, PromotionState},
     },
     pondtrack_edge::contract::{Order, Position, Role},
     pondtrack_proto::{Mark, Name, PeerMsg, Term},
@@ -60,7 +60,7 @@
     while !home.closing.get() {
         sleep(LOOK).await;
         let now = node.now();
-        if home.detector.borrow_mut().look(now) {
+        if home.detector.borrow_mut().poll(now) {
             node.count(Count::Pauses);
             forget_evidence(&home, now);
             absent = None;
@@ -84,7 +84,7 @@
             continue;
         }
         let Some(cause) = judge(&node, &home, now, absent, &apart) else { continue };
-        if home.grants.borrow().left() == 0 {
+        if home.grants.borrow().remaining() == 0 {
             // A change begins with a term in hand: its limit would end the calls that bring one, for ever if these
             // are slower than it.
             keeper::replenish(&node, &home, Need::Now);
@@ -123,8 +123,8 @@
 fn forget_evidence(home: &Home, now: Time) {
     for it in &home.servers {
         let mut view = it.view.borrow_mut();
-        view.heard.refused = view.heard.refused.map(|_| now);
-        view.heard.last = view.heard.last.map(|_| now);
+        view.heard.refused_since = view.heard.refused_since.map(|_| now);
+        view.heard.answered_at = view.heard.answered_at.map(|_| now);
     }
     if home.stalled.get().is_some() {
         home.stalled.set(Some(now));
@@ -139,7 +139,7 @@
 }
 
 fn judge(node: &Node, home: &Home, now: Time, absent: Option<Time>, apart: &[Option<Time>]) -> Option<Cause> {
-    let reachable = home.servers.iter().filter(|it| it.view.borrow().heard.refused.is_none()).count();
+    let reachable = home.servers.iter().filter(|it| it.view.borrow().heard.refused_since.is_none()).count();
     if reachable < home.spec.borrow().majority() {
         // Without a majority nothing can be fenced.
         return None;
@@ -150,7 +150,7 @@
     if stranded(home, now, apart, rank, primary) {
         return Some(Cause::Stranded);
     }
-    let cause = home.detector.borrow().judge(now, rank, heard.as_ref(), absent, home.stalled.get());
+    let cause = home.detector.borrow().evaluate(now, rank, heard.as_ref(), absent, home.stalled.get());
     cause.filter(|it| *it != Cause::Stalled || others_suffice(node, home, primary))
 }
 
@@ -196,9 +196,11 @@
     let now = node.now();
     let one = |it: &super::Server| {
         let view = it.view.borrow();
-        let heard =
-            view.heard.last.map_or("never".to_owned(), |at| format!("{} ms ago", now.saturating_sub(at)));
-        let refused = if view.heard.refused.is_some() { ", refuses connections" } else { "" };
+        let heard = view
+            .heard
+            .answered_at
+            .map_or("never".to_owned(), |at| format!("{} ms ago", now.saturating_sub(at)));
+        let refused = if view.heard.refused_since.is_some() { ", refuses connections" } else { "" };
         let position = view
             .position
             .map_or("unknown".to_owned(), |p| format!("{} of term {} at {}", p.role, p.term, p.received));
@@ -261,7 +263,7 @@
     let spec = home.spec.borrow().clone();
     let avoid = (0..spec.servers.len()).filter(|n| spec.servers[*n].draining).collect();
     let (mut switch, first) =
-        Switch::begin(spec.servers.len(), spec.majority(), term, wish.prefer, avoid, wish.skip);
+        Promotion::start(spec.servers.len(), spec.majority(), term, wish.prefer, avoid, wish.skip);
     let (send, mut receive) = mpsc::unbounded_channel();
     perform(node, home, first, &send);
     let hurry = sleep(PREFERRED_LIMIT);
@@ -272,44 +274,46 @@
             it = receive.recv() => it,
             () = &mut hurry, if !hurried => {
                 hurried = true;
-                perform(node, home, switch.hurry(), &send);
+                perform(node, home, switch.skip_preferred(), &send);
                 continue;
             }
         };
         let Some(it) = it else { break };
         let next = match it {
-            Outcome::Position(server, Action::Fence { .. }, p) => switch.fenced(server, p.term, p.received),
+            Outcome::Position(server, Action::Fence { .. }, p) => {
+                switch.on_fenced(server, p.term, p.received)
+            }
             Outcome::Position(server, Action::Promote { .. }, p) if p.role == Role::Primary => {
-                switch.promoted(server, p.term)
+                switch.on_promoted(server, p.term)
             }
             Outcome::Position(_, _, p) => {
-                switch.refused(p.term);
+                switch.on_refused(p.term);
                 Vec::new()
             }
             Outcome::Lost(Action::Promote { .. }) => {
-                switch.lost();
+                switch.abort();
                 Vec::new()
             }
             Outcome::Lost(_) => Vec::new(),
             Outcome::Refused => {
-                switch.refused(home.term());
+                switch.on_refused(home.term());
                 Vec::new()
             }
         };
         perform(node, home, next, &send);
         match switch.state {
-            SwitchState::Done => return Ok(finish(node, home, &switch)),
-            SwitchState::GivenUp => {
+            PromotionState::Done => return Ok(finish(node, home, &switch)),
+            PromotionState::GivenUp => {
                 return Err(format!("term {term} was overtaken, or the chosen server is lost"));
             }
-            SwitchState::Fencing | SwitchState::Promoting => {}
+            PromotionState::Fencing | PromotionState::Promoting => {}
         }
     }
     Err("no majority of servers answers".to_owned())
 }
 
-fn finish(node: &Node, home: &Home, switch: &Switch) -> (Term, Name) {
-    let n = switch.chosen.expect("a switch that is done has chosen");
+fn finish(node: &Node, home: &Home, switch: &Promotion) -> (Term, Name) {
+    let n = switch.candidate.expect("a switch that is done has chosen");
     let name = home.servers[n].spec.borrow().name.clone();
     let logs: Vec<String> = switch
         .fenced
--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -22,13 +22,13 @@
     exec::Pinned,
     pondtrack_core::{
         Time,
-        detect::{Detector, Heard},
-        fresh::Freshness,
-        gate::{Gate, Ticket, Verdict},
-        grant::Grants,
+        commit_gate::{AckStatus, CommitGate, Ticket},
+        failure_detector::{FailureDetector, LastContact},
+        freshness::Freshness,
         place,
         retry::Budget,
         route::Candidate,
+        term_pool::TermPool,
     },
     pondtrack_edge::{
         EdgeError, Upstream,
@@ -59,7 +59,7 @@
     /// Its position.
     pub position: Option<Position>,
     /// When it was heard and since when it refuses.
-    pub heard: Heard,
+    pub heard: LastContact,
     /// When which end of its log was seen, oldest first.
     arrivals: VecDeque<(Time, Lsn)>,
 }
@@ -74,8 +74,8 @@
 
     /// Whether the server was heard within a time, in milliseconds, and doesn't refuse connections.
     pub fn is_near(&self, now: Time, limit: u64) -> bool {
-        let last = self.heard.last.is_some_and(|at| now.saturating_sub(at) < limit);
-        last && self.heard.refused.is_none()
+        let last = self.heard.answered_at.is_some_and(|at| now.saturating_sub(at) < limit);
+        last && self.heard.refused_since.is_none()
     }
 
     fn arrived(&mut self, now: Time, position: &Position) {
@@ -105,7 +105,7 @@
     /// Its position as last seen, and when it last answered.
     fn seen(&self) -> (Option<Position>, Option<Time>) {
         let view = self.view.borrow();
-        (view.position, view.heard.last)
+        (view.position, view.heard.answered_at)
     }
 }
 
@@ -124,15 +124,15 @@
     /// The servers, in the order of the configuration.
     pub servers: Vec<Server>,
     /// Holds acknowledgements back.
-    pub gate: RefCell<Gate>,
+    pub gate: RefCell<CommitGate>,
     /// Since when commits wait without any progress.
     pub stalled: Cell<Option<Time>>,
     /// Tells how old replicas are.
     pub fresh: RefCell<Freshness>,
     /// Gives up primaries.
-    pub detector: RefCell<Detector>,
+    pub detector: RefCell<FailureDetector>,
     /// Terms taken ahead.
-    pub grants: RefCell<Grants>,
+    pub grants: RefCell<TermPool>,
     /// Set while a block of terms is being asked for.
     pub asking: Cell<bool>,
     /// Retries allowed.
@@ -194,10 +194,10 @@
             version: Cell::new(version),
             rank: Cell::new(0),
             count: Cell::new(1),
-            gate: RefCell::new(Gate::new(n, quorum)),
+            gate: RefCell::new(CommitGate::new(n, quorum)),
             stalled: Cell::default(),
             fresh: RefCell::new(Freshness::new(n, spec.majority())),
-            detector: RefCell::new(Detector::new(node.settings.detect(), node.now())),
+            detector: RefCell::new(FailureDetector::new(node.settings.detect(), node.now())),
             grants: RefCell::default(),
             asking: Cell::default(),
             budget: RefCell::default(),
@@ -301,14 +301,14 @@
         let differs = view.position != Some(position);
         view.arrived(now, &position);
         view.position = Some(position);
-        view.heard = Heard { last: Some(now), refused: None };
+        view.heard = LastContact { answered_at: Some(now), refused_since: None };
         drop(view);
         self.fresh.borrow_mut().confirm(server, position.term, sent);
         if position.role == Role::Primary {
             self.fresh.borrow_mut().observe(position.term, position.received, sent);
             self.begin_term(node, position.term);
         }
-        let waited = self.gate.borrow().waiting();
+        let waited = self.gate.borrow().pending();
         let open = self.gate.borrow_mut().observe(server, position.term, position.received);
         if !open.is_empty() {
             self.stalled.set((waited > open.len()).then_some(now));
@@ -320,7 +320,7 @@
     }
 
     fn begin_term(&self, node: &Node, term: Term) {
-        let broken = self.gate.borrow_mut().begin(term);
+        let broken = self.gate.borrow_mut().begin_term(term);
         if self.gate.borrow().term() == term && self.lost.get().is_some() {
             self.found(node);
         }
@@ -337,11 +337,11 @@
 
     /// Waits until a majority holds what the primary of a term wrote up to a position.
     pub async fn gated(&self, node: &Node, mark: Mark, deadline: Time) -> Gated {
-        let verdict = self.gate.borrow_mut().hold(mark.term, mark.lsn);
+        let verdict = self.gate.borrow_mut().request_ack(mark.term, mark.lsn);
         let ticket = match verdict {
-            Verdict::Open => return Gated::Open,
-            Verdict::Broken => return Gated::Broken,
-            Verdict::Wait(it) => it,
+            AckStatus::Ready => return Gated::Open,
+            AckStatus::Superseded => return Gated::Broken,
+            AckStatus::Pending(it) => it,
         };
         let now = node.now();
         if self.stalled.get().is_none() {
@@ -356,13 +356,13 @@
             Ok(Ok(true)) => Gated::Open,
             Ok(_) => Gated::Broken,
             Err(_) => {
-                self.gate.borrow_mut().forget(ticket);
+                self.gate.borrow_mut().cancel(ticket);
                 self.tickets.borrow_mut().retain(|it| it.0 != ticket);
                 Gated::Late
             }
         };
         crate::telemetry::gate_wait(Duration::from_millis(node.now().saturating_sub(now)));
-        if self.gate.borrow().waiting() == 0 {
+        if self.gate.borrow().pending() == 0 {
             self.stalled.set(None);
         }
         out
@@ -393,8 +393,8 @@
                 server: n,
                 zone: spec.zone.clone(),
                 primary: primary == Some(n),
-                open: !spec.draining && view.heard.refused.is_none(),
-                heard: view.heard.last,
+                open: !spec.draining && view.heard.refused_since.is_none(),
+                heard: view.heard.answered_at,
                 term: position.term,
                 received: position.received,
                 applied: position.applied,
@@ -461,8 +461,8 @@
         let server = |it: &Server| {
             let view = it.view.borrow();
             let spec = it.spec.borrow();
-            let heard_ms = view.heard.last.map(|at| now.saturating_sub(at));
-            let near = heard_ms.is_some_and(|ms| ms < 3_000) && view.heard.refused.is_none();
+            let heard_ms = view.heard.answered_at.map(|at| now.saturating_sub(at));
+            let near = heard_ms.is_some_and(|ms| ms < 3_000) && view.heard.refused_since.is_none();
             let role = match view.position {
                 Some(p) if near => p.role.to_string(),
                 _ => "unreachable".to_owned(),
@@ -486,7 +486,7 @@
             homes,
             servers: self.servers.iter().map(server).collect(),
             queued: self.servers.iter().map(|it| it.pool.queued() as u32).sum(),
-            grants: self.grants.borrow().left() as u32,
+            grants: self.grants.borrow().remaining() as u32,
         }
     }
 
--- a/crates/pondtrackd/src/home/monitor.rs
+++ b/crates/pondtrackd/src/home/monitor.rs
@@ -83,8 +83,8 @@
 /// The server's address refused, or its connection broke; the first time counts.
 fn refused(node: &Node, home: &Home, server: usize) {
     let mut view = home.servers[server].view.borrow_mut();
-    if view.heard.refused.is_none() {
-        view.heard.refused = Some(node.now());
+    if view.heard.refused_since.is_none() {
+        view.heard.refused_since = Some(node.now());
         drop(view);
         home.changed.notify_waiters();
     }
@@ -112,7 +112,7 @@
         first = false;
         known = (position.term, position.received.lsn, position.applied);
         home.saw(node, server, position, sent);
-        if home.gate.borrow().waiting() == 0 {
+        if home.gate.borrow().pending() == 0 {
             let wanted = home.wanted.notified();
             let _ = timeout(Duration::from_millis(CALM), wanted).await;
         }
--- a/crates/pondtrackd/src/home/pool.rs
+++ b/crates/pondtrackd/src/home/pool.rs
@@ -9,7 +9,7 @@
     pondtrack_core::{
         Time,
         admit::{Admission, Admit, AdmitConfig, Turn},
-        life::{self, ConnEvent, ConnState},
+        lifecycle::{self, ConnEvent, ConnState},
         retry::Backoff,
     },
     pondtrack_edge::{EdgeError, Upstream, contract::Position},
@@ -108,7 +108,7 @@
     }
 
     fn apply(&mut self, event: ConnEvent) {
-        match life::connection().next(self.state, event) {
+        match lifecycle::connection_chart().next(self.state, event) {
             Ok(next) => self.state = next,
             Err(e) => log::error!(step = "connection"; "{e}"),
         }
--- a/crates/pondtrackd/src/keeper.rs
+++ b/crates/pondtrackd/src/keeper.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{gossip, home::Home, node::Node, telemetry::Count},
-    pondtrack_core::{grant, place, retry::Backoff},
+    pondtrack_core::{place, retry::Backoff, term_pool},
     pondtrack_edge::{
         PlatformError,
         platform::{Call, Listing, Object},
@@ -90,7 +90,7 @@
 
 /// Whether this instance is one of the few that hold watches.
 fn is_watcher(node: &Node) -> bool {
-    !node.leaving.get() && place::watchers(&node.members.borrow().all()).contains(&node.name)
+    !node.leaving.get() && place::watchers(&node.members.borrow().active()).contains(&node.name)
 }
 
 /// Watches one kind while this instance is one of the few that do.
@@ -171,7 +171,7 @@
                     backoff.reset();
                     first = false;
                     let others = list.into_iter().filter(|it| it.name != node.name).map(|it| it.addr);
-                    node.members.borrow_mut().seed(others);
+                    node.members.borrow_mut().add_seeds(others);
                 }
                 Err(_) => {
                     pause(&node, &mut backoff).await;
@@ -194,8 +194,8 @@
 /// Drops the terms of a home that are no longer of use, and takes more in the background if few are left.
 pub fn replenish(node: &Rc<Node>, home: &Rc<Home>, need: Need) {
     let mut grants = home.grants.borrow_mut();
-    grants.forget(home.term());
-    let (low, none) = (grants.is_low(), grants.left() == 0);
+    grants.discard_through(home.term());
+    let (low, none) = (grants.is_low(), grants.remaining() == 0);
     drop(grants);
     if !low || home.closing.get() || home.asking.replace(true) {
         return;
@@ -248,7 +248,7 @@
     loop {
         let (record, version) = read_term(node, &home.group).await?;
         let change = node.random();
-        let (next, block) = grant::give(&record, home.term(), change);
+        let (next, block) = term_pool::allocate_block(&record, home.term(), change);
         let done = match node.platform.put(kind, &home.group, version, &next).await {
             Ok(_) => true,
             Err(PlatformError::Conflict { .. }) => false,
--- a/crates/pondtrackd/src/node.rs
+++ b/crates/pondtrackd/src/node.rs
@@ -89,11 +89,11 @@
         let interval = settings.probe_ms;
         let choice = settings.spread;
         let config = MemberConfig {
-            interval,
-            direct: (interval * 3 / 10).max(20),
-            indirect: (interval / 2).max(30),
-            suspicion: interval * 2,
-            choice,
+            probe_interval: interval,
+            direct_timeout: (interval * 3 / 10).max(20),
+            indirect_timeout: (interval / 2).max(30),
+            suspicion_timeout: interval * 2,
+            peer_choice: choice,
             ..MemberConfig::default()
         };
         let seed: u64 = rand::rng().random();
@@ -178,7 +178,7 @@
         if let Ok(at) = at {
             return placed[at].clone();
         }
-        let members = self.members.borrow().all();
+        let members = self.members.borrow().active();
         let homes = place::homes(spec, &members);
         let near = place::preferred(&homes, &members, &self.zone);
         let it = Rc::new(Placed { group: spec.name.clone(), homes, near });
@@ -202,7 +202,7 @@
 
     /// The version of a fact known here.
     pub fn version(&self, kind: FactKind, name: &Name) -> u64 {
-        self.members.borrow().spread.version(&FactKey { kind, name: name.clone() })
+        self.members.borrow().facts.version(&FactKey { kind, name: name.clone() })
     }
 }
 
--- a/crates/pondtrackd/src/peers.rs
+++ b/crates/pondtrackd/src/peers.rs
@@ -182,7 +182,7 @@
         shunned.retain(|it| it.0 != link.peer);
         shunned.push((link.peer.clone(), until));
         drop(shunned);
-        node.members.borrow_mut().doubt(&link.peer);
+        node.members.borrow_mut().probe_next(&link.peer);
     }
 
     fn owes(&self, link: u64) -> bool {
@@ -385,7 +385,8 @@
         }
         PeerMsg::Terms { id, group, known } => {
             // They are no longer this home's before they leave: a lost answer loses them, and no two have one.
-            let block = node.home(&group).and_then(|it| it.grants.borrow_mut().share(known.max(it.term())));
+            let block =
+                node.home(&group).and_then(|it| it.grants.borrow_mut().split_off(known.max(it.term())));
             let _ = send.try_send(link::encode(&PeerMsg::TermsReply { id, block }));
         }
         PeerMsg::Hello { .. }
@@ -419,7 +420,7 @@
     let Some(home) = node.home(group) else { return silent };
     let Some(primary) = home.primary() else { return silent };
     let Ok(it) = home.order(node, primary, Order::Position, HEARD_LIMIT).await else { return silent };
-    let limit = node.settings.detect().stall / 2;
+    let limit = node.settings.detect().stall_timeout / 2;
     let stalled = home.stalled.get().is_some_and(|at| node.now().saturating_sub(at) > limit);
     PeerMsg::HeardReply { id, term: (it.role == Role::Primary).then_some(it.term), stalled }
 }
--- a/crates/pondtrackd/src/planner.rs
+++ b/crates/pondtrackd/src/planner.rs
@@ -13,7 +13,7 @@
     },
     pondtrack_core::{
         place,
-        plan::{self, Outlook, PlanEvent},
+        plan::{self, ClusterView, PlanEvent},
     },
     pondtrack_edge::{PlatformError, contract::Order, platform::Object},
     pondtrack_proto::{FactKind, GroupSpec, Intent, Mark, Name, PeerMsg, Plan, PlanState, Step, StepState},
@@ -79,7 +79,7 @@
 }
 
 /// What a plan is made from: the platform's own objects and the homes' views.
-async fn outlook(node: &Rc<Node>, intent: &Intent) -> Result<Outlook, Refusal> {
+async fn outlook(node: &Rc<Node>, intent: &Intent) -> Result<ClusterView, Refusal> {
     let listing = node.platform.list(kind(FactKind::Group)).await.map_err(|e| refusal(&e))?;
     let mut groups = Vec::new();
     for it in &listing.objects {
@@ -94,8 +94,8 @@
         reports.iter().flat_map(|it| &it.groups).flat_map(|g| g.servers.iter().map(move |s| (g, s)));
     let leads = servers.filter(|(_, s)| s.role == "primary");
     let primaries = leads.map(|(g, s)| (g.name.clone(), s.name.clone(), s.term)).collect();
-    let members = node.members.borrow().all();
-    Ok(Outlook { groups, primaries, members })
+    let members = node.members.borrow().active();
+    Ok(ClusterView { groups, primaries, members })
 }
 
 async fn read_plan(node: &Node, name: &Name) -> Result<(Plan, u64), Refusal> {
@@ -198,7 +198,7 @@
 
 fn running_plans(node: &Node) -> Vec<Plan> {
     let members = node.members.borrow();
-    let plans = members.spread.of_kind(FactKind::Plan);
+    let plans = members.facts.of_kind(FactKind::Plan);
     let read = plans.filter_map(|it| serde_json::from_slice::<Plan>(&it.value).ok());
     read.filter(|it| it.state == PlanState::Running).collect()
 }
@@ -213,7 +213,7 @@
         Intent::Stop { .. } => None,
     };
     let home = group.and_then(|it| node.group(it)).and_then(|it| node.homes_of(&it).homes.first().cloned());
-    let members = node.members.borrow().all();
+    let members = node.members.borrow().active();
     // An instance does not work on its own stop: its end would end the work.
     let own = |name: &Name| matches!(&it.intent, Intent::Stop { instance } if instance == name);
     let rest = members.iter().filter(|m| !own(&m.name));
--- a/crates/pondtrackd/src/settings.rs
+++ b/crates/pondtrackd/src/settings.rs
@@ -3,7 +3,7 @@
 use {
     crate::hosted::{Hosted, hosted_parser},
     bpaf::{Bpaf, OptionParser, Parser},
-    pondtrack_core::{detect::DetectConfig, spread::Choice},
+    pondtrack_core::{failure_detector::DetectorConfig, spread::Choice},
     pondtrack_proto::{Name, group::is_name},
     snafu::Snafu,
     std::net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -217,7 +217,7 @@
     }
 
     /// The detector's times that follow from the settings.
-    pub fn detect(&self) -> DetectConfig {
-        DetectConfig { silence: self.silence_ms, ..DetectConfig::default() }
+    pub fn detect(&self) -> DetectorConfig {
+        DetectorConfig { silence_timeout: self.silence_ms, ..DetectorConfig::default() }
     }
 }
--- a/crates/testbed/src/forget.rs
+++ b/crates/testbed/src/forget.rs
@@ -1,6 +1,6 @@
 //! An exhaustive walk over a change of primary while servers start again and hold nothing.
 //!
-//! The walk drives the decisions that ship (`core::gate`, `core::claim`, `core::recovery`) as `pondtrack-engine` does: one writer that
+//! The walk drives the decisions that ship (`core::commit_gate`, `core::primary_claim`, `core::recovery`) as `pondtrack-engine` does: one writer that
 //! acknowledges and reads, one holder of the lease that replaces the primary without reaching it. Every step may come at any time;
 //! an order to promote may be carried out late or never. Three assumptions are built in: the directory tells of a run before
 //! anybody hears that run, an order to promote doesn't meet a later run of its server, and no change of primary lasts longer than
@@ -8,7 +8,7 @@
 
 use {
     self::view::{Status, View},
-    pondtrack_core::claim::Claim,
+    pondtrack_core::primary_claim::PrimaryClaim,
     pondtrack_proto::{Lsn, Mark, Term},
     std::{
         collections::{HashSet, VecDeque},
@@ -214,7 +214,12 @@
     State {
         servers,
         writer: view.clone(),
-        holder: View { gate: View::new().gate, claim: Claim::default(), seen: [None; SERVERS], ..view },
+        holder: View {
+            gate: View::new().gate,
+            claim: PrimaryClaim::default(),
+            seen: [None; SERVERS],
+            ..view
+        },
         change: Change::None,
         began: [0; SERVERS],
         changes: 0,
@@ -263,7 +268,7 @@
 /// What the writer's gate lets out is acknowledged.
 fn acknowledge(state: &mut State, bounds: Bounds) {
     let (term, durable, clear) =
-        (state.writer.gate.term(), state.writer.gate.durable(), state.writer.holds(bounds));
+        (state.writer.gate.term(), state.writer.gate.commit_lsn(), state.writer.holds(bounds));
     for it in state.writes.iter_mut() {
         it.acked |= clear && Term(it.entry.0.into()) == term && it.at <= durable;
     }
--- a/crates/testbed/src/forget/view.rs
+++ b/crates/testbed/src/forget/view.rs
@@ -3,9 +3,9 @@
 use {
     super::{Bounds, CHANGE, RUNS, SERVERS},
     pondtrack_core::{
-        claim::{Claim, Verdict},
-        gate::Gate,
-        recovery::{Recovery, Witness},
+        commit_gate::CommitGate,
+        primary_claim::{ClaimStatus, PrimaryClaim},
+        recovery::{Recovery, ReplicaReport},
     },
     pondtrack_proto::{Mark, Term},
 };
@@ -24,8 +24,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct View {
     pub(super) term: Term,
-    pub(super) gate: Gate,
-    pub(super) claim: Claim,
+    pub(super) gate: CommitGate,
+    pub(super) claim: PrimaryClaim,
     pub(super) primary: Option<usize>,
     pub(super) leader: Option<(Term, usize)>,
     pub(super) runs: [usize; SERVERS],
@@ -37,8 +37,8 @@
     pub(super) fn new() -> View {
         View {
             term: Term(0),
-            gate: Gate::new(SERVERS * RUNS, 1),
-            claim: Claim::default(),
+            gate: CommitGate::new(SERVERS * RUNS, 1),
+            claim: PrimaryClaim::default(),
             primary: None,
             leader: None,
             runs: [0; SERVERS],
@@ -54,7 +54,7 @@
 
     /// The directory tells that a server has started again.
     pub(super) fn restarted(&mut self, server: usize, run: usize, now: u64) {
-        self.gate.forget_server(self.slot(server));
+        self.gate.reset_server(self.slot(server));
         self.runs[server] = run;
         self.recovery[server] = Some(Recovery::new(now, CHANGE));
         self.seen[server] = None;
@@ -73,19 +73,19 @@
         let term = Term(it.term.into());
         if term > self.term {
             self.term = term;
-            self.gate.begin(term);
-            self.claim = Claim::default();
+            self.gate.begin_term(term);
+            self.claim = PrimaryClaim::default();
             self.primary = None;
         }
         let newest = self.term;
         if let Some(recovery) = &mut self.recovery[server] {
-            recovery.heard(newest);
+            recovery.observe_term(newest);
         }
         let leads = term == self.term && it.primary;
         if term == self.term {
             self.judge_claim(server, it);
         }
-        let believed = bounds.no_claim || self.claim.verdict() != Verdict::Lacks;
+        let believed = bounds.no_claim || self.claim.status() != ClaimStatus::LogLost;
         match self.primary {
             _ if leads && believed => {
                 self.primary = Some(server);
@@ -109,14 +109,14 @@
 
     pub(super) fn judge_claim(&mut self, server: usize, it: Status) {
         match it.primary {
-            true => self.claim.shows(self.slot(server), it.at.lsn, it.asked),
-            false if it.at.term == self.term => self.claim.received(it.at.lsn, it.asked),
+            true => self.claim.observe_primary(self.slot(server), it.at.lsn, it.asked),
+            false if it.at.term == self.term => self.claim.observe_replica(it.at.lsn, it.asked),
             false => {}
         }
         for recovery in self.recovery.iter_mut().flatten() {
             match it.primary {
-                true => recovery.led(it.at, it.asked),
-                false => recovery.received(it.at),
+                true => recovery.observe_primary(it.at, it.asked),
+                false => recovery.observe_replica(it.at),
             }
         }
     }
@@ -128,22 +128,22 @@
         let others = (0..SERVERS).filter(|it| *it != server && !leads(*it));
         let witness = |it: usize| {
             let it = self.seen[it]?;
-            Some(Witness {
-                asked: it.asked,
+            Some(ReplicaReport {
+                asked_at: it.asked,
                 term: Term(it.term.into()),
-                receives: !it.primary && !it.stopped,
+                receiving: !it.primary && !it.stopped,
             })
         };
-        recovery.counts(self.term, others.map(witness))
+        recovery.counts_for_quorum(self.term, others.map(witness))
     }
 
     pub(super) fn holds(&self, bounds: Bounds) -> bool {
-        bounds.no_claim || self.claim.verdict() == Verdict::Holds
+        bounds.no_claim || self.claim.status() == ClaimStatus::Valid
     }
 
     /// A replica that came back with nothing, and hasn't all that the primary held since.
     pub(super) fn is_unrecovered(&self) -> bool {
         let leads = |it: usize| self.leader.is_some_and(|leader| leader.1 % SERVERS == it);
-        (0..SERVERS).any(|it| !leads(it) && self.recovery[it].is_some_and(|it| !it.is_whole()))
+        (0..SERVERS).any(|it| !leads(it) && self.recovery[it].is_some_and(|it| !it.is_recovered()))
     }
 }
--- a/crates/testbed/src/model.rs
+++ b/crates/testbed/src/model.rs
@@ -1,15 +1,15 @@
 //! An exhaustive walk over the gate, the switch, fencing, promotion and rejoining.
 //!
-//! The walk drives the code that ships: [`Gate`], [`Switch`] and [`Grants`] of `pondtrack-core`, against
+//! The walk drives the code that ships: [`CommitGate`], [`Promotion`] and [`TermPool`] of `pondtrack-core`, against
 //! the stand-in's own [`Contract`]. Every order may be carried out at any later time or never, answers may
 //! be lost, homes may see a server as it was before.
 
 use {
     crate::db::contract::Contract,
     pondtrack_core::{
-        gate::{Gate, Ticket, Verdict},
-        grant::{self, Grants},
-        switch::{Action, Switch, SwitchState},
+        commit_gate::{AckStatus, CommitGate, Ticket},
+        promotion::{Action, Promotion, PromotionState},
+        term_pool::{self, TermPool},
     },
     pondtrack_edge::contract::Role,
     pondtrack_proto::{Lsn, Mark, Term, TermRecord},
@@ -71,9 +71,9 @@
 /// A home: it promotes, and its writer writes through it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Home {
-    gate: Gate,
-    grants: Grants,
-    switch: Option<Switch>,
+    gate: CommitGate,
+    grants: TermPool,
+    switch: Option<Promotion>,
     begun: u8,
     writes: Vec<Write>,
     /// A server as it was seen a while ago.
@@ -142,12 +142,12 @@
     let mut record = TermRecord { term: Term(1), next: Term(2), ..TermRecord::default() };
     let mut homes = Vec::new();
     for n in 0..HOMES {
-        let (next, block) = grant::give(&record, Term(1), n as u64);
+        let (next, block) = term_pool::allocate_block(&record, Term(1), n as u64);
         record = next;
-        let mut grants = Grants::default();
+        let mut grants = TermPool::default();
         grants.add(block.0, block.1);
-        let mut gate = Gate::new(SERVERS, bounds.gate);
-        gate.begin(Term(1));
+        let mut gate = CommitGate::new(SERVERS, bounds.gate);
+        gate.begin_term(Term(1));
         for server in 0..SERVERS {
             gate.observe(server, Term(1), Mark::new(1, 1));
         }
@@ -180,7 +180,7 @@
 
 /// A home gives the primary up, for a reason or for none.
 fn begin_switch(state: &State, bounds: Bounds, home: usize, out: &mut Vec<State>) {
-    let busy = |it: &Switch| matches!(it.state, SwitchState::Fencing | SwitchState::Promoting);
+    let busy = |it: &Promotion| matches!(it.state, PromotionState::Fencing | PromotionState::Promoting);
     let it = &state.homes[home];
     if it.begun >= bounds.switches[home] || it.switch.as_ref().is_some_and(busy) {
         return;
@@ -189,7 +189,7 @@
     let known = state.servers.iter().map(|s| s.term).max().unwrap_or_default();
     let it = &mut next.homes[home];
     let Some(term) = it.grants.take(known) else { return };
-    let (switch, actions) = Switch::begin(SERVERS, bounds.fence, term, None, Vec::new(), None);
+    let (switch, actions) = Promotion::start(SERVERS, bounds.fence, term, None, Vec::new(), None);
     it.switch = Some(switch);
     it.begun += 1;
     push_orders(&mut next, home, actions);
@@ -217,10 +217,10 @@
         // The answer to a write shows the primary's position.
         begin_term(it, at.term);
         settle(it, server, at.term, at);
-        let (ticket, acked) = match it.gate.hold(at.term, at.lsn) {
-            Verdict::Open => (None, true),
-            Verdict::Wait(ticket) => (Some(ticket), false),
-            Verdict::Broken => (None, false),
+        let (ticket, acked) = match it.gate.request_ack(at.term, at.lsn) {
+            AckStatus::Ready => (None, true),
+            AckStatus::Pending(ticket) => (Some(ticket), false),
+            AckStatus::Superseded => (None, false),
         };
         it.writes.push(Write { at, ticket, acked });
         out.push(next);
@@ -228,7 +228,7 @@
 }
 
 fn begin_term(home: &mut Home, term: Term) {
-    for ticket in home.gate.begin(term) {
+    for ticket in home.gate.begin_term(term) {
         for it in home.writes.iter_mut().filter(|it| it.ticket == Some(ticket)) {
             it.ticket = None;
         }
@@ -248,7 +248,7 @@
 ///
 /// It learns only while an acknowledgement waits: what it would have learned before is learned late.
 fn observe(state: &State, bounds: Bounds, home: usize, out: &mut Vec<State>) {
-    let waits = state.homes[home].gate.waiting() > 0;
+    let waits = state.homes[home].gate.pending() > 0;
     let may_write = state.homes[home].writes.len() < usize::from(bounds.writes[home]);
     for server in 0..SERVERS {
         let it = &state.servers[server];
@@ -298,11 +298,11 @@
                     next.primaries.push((term, server));
                     let mut lost = next.clone();
                     if let Some(it) = &mut lost.homes[home].switch {
-                        it.lost();
+                        it.abort();
                     }
                     out.push(lost);
                     let switch = next.homes[home].switch.as_mut();
-                    let actions = switch.map(|it| it.promoted(server, term)).unwrap_or_default();
+                    let actions = switch.map(|it| it.on_promoted(server, term)).unwrap_or_default();
                     push_orders(&mut next, home, actions);
                 }
             }
@@ -320,7 +320,7 @@
         let mut next = state.clone();
         let (home, server, term, last) = next.answers.remove(at);
         let switch = next.homes[home].switch.as_mut();
-        let actions = switch.map(|it| it.fenced(server, term, last)).unwrap_or_default();
+        let actions = switch.map(|it| it.on_fenced(server, term, last)).unwrap_or_default();
         push_orders(&mut next, home, actions);
         out.push(next);
     }
