--- a/crates/proto/src/fact.rs
+++ b/crates/proto/src/fact.rs
@@ -1,4 +1,4 @@
-//! Versioned facts and the digests by which instances compare them.
+//! Versioned facts that instances gossip, and the digests for anti-entropy.
 
 use {
     crate::ids::Name,
@@ -7,10 +7,10 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Number of buckets a digest parts the facts into.
+/// Number of buckets in a [`Digest`].
 pub const BUCKETS: usize = 64;
 
-/// The kinds of objects that are spread as facts.
+/// Kinds of platform objects that are gossiped as facts.
 #[derive(
     Clone,
     Copy,
@@ -29,48 +29,48 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum FactKind {
-    /// A group's configuration.
+    /// Configuration of a group.
     Group,
-    /// A plan.
+    /// An operator's plan.
     Plan,
-    /// An order to an instance to leave.
+    /// Order for an instance to leave the fleet.
     Leave,
 }
 
-/// Names one fact.
+/// Identifies a fact.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FactKey {
-    /// The kind.
+    /// Kind of the object.
     pub kind: FactKind,
-    /// The object's name.
+    /// Name of the object.
     pub name: Name,
 }
 
-/// One object of the platform as known to an instance.
+/// A platform object as known to an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
-    /// What it is.
+    /// Kind and name of the object.
     pub key: FactKey,
-    /// The platform's version; only a higher one replaces it.
+    /// Version on the platform. Only a higher version replaces a fact.
     pub version: u64,
-    /// The object as JSON.
+    /// JSON encoding of the object.
     pub value: std::sync::Arc<[u8]>,
 }
 
-/// What two instances compare to find facts that differ.
+/// Bucket hashes that two instances compare to find the facts that differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// One hash a bucket.
+    /// One hash per bucket.
     pub buckets: Vec<u64>,
 }
 
 impl FactKey {
-    /// The bucket this fact belongs to.
+    /// Returns the index of the bucket that holds the fact.
     pub fn bucket(&self) -> usize {
         self.hash(0) as usize % BUCKETS
     }
 
-    /// A hash of the key at a version.
+    /// Hashes the key together with a version.
     pub fn hash(&self, version: u64) -> u64 {
         let mut buf = Vec::with_capacity(self.name.len() + 9);
         buf.push(self.kind as u8);
--- a/crates/proto/src/ids.rs
+++ b/crates/proto/src/ids.rs
@@ -6,55 +6,55 @@
     std::fmt,
 };
 
-/// A shared immutable name of a group, server, instance or availability zone.
+/// Immutable, reference-counted name of a group, server, instance or availability zone.
 pub type Name = ArcStr;
 
-/// A term of a group: one primary at most writes in one term.
+/// Term of a group. Each term has at most one primary that accepts writes.
 ///
-/// Source: the group's servers; a new one comes from a grant on the platform.
+/// Reported by the servers of the group; a new term is granted by the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// A position in a group's log, counted in entries from 1; 0 is the empty log.
+/// Log sequence number: a position in a group's log, counted in entries from 1. 0 is the empty log.
 ///
-/// Source: the group's servers.
+/// Reported by the servers of the group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Lsn(pub u64);
 
-/// One run of a server's process. A server that starts again under its id holds and knows nothing of the runs before.
+/// One run of a server process. After a restart under the same id, a server has lost the state of its earlier runs.
 ///
-/// Source: the server's entry in the directory. Clocks may be set back, so a later run may state an earlier start: runs are
-/// told apart, and not put in order.
+/// Reported by the server's entry in the directory. A clock may be set back, so a later run may report an earlier
+/// start: incarnations are compared for equality only, and their order has no meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Incarnation {
-    /// The entry doesn't state a start: the id alone tells the server apart.
+    /// The entry does not report a start time: the id alone identifies the server.
     #[default]
     Unstated,
-    /// The process started at this time, in Unix milliseconds.
+    /// Start time of the process, in Unix milliseconds.
     Started(u64),
 }
 
-/// A position together with the term it was observed in.
+/// Log position with the term in which it was observed.
 ///
-/// Ordered by term first, which is the order in which a promotion prefers logs.
+/// Ordered by term first, then by LSN, as promotion ranks the logs of replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Mark {
-    /// The term in which the position was observed.
+    /// Term in which the position was observed.
     pub term: Term,
-    /// The position.
+    /// Log sequence number.
     pub lsn: Lsn,
 }
 
 impl Mark {
-    /// Makes a mark from plain numbers.
+    /// Creates a log position from plain numbers.
     pub const fn new(term: u64, lsn: u64) -> Mark {
         Mark { term: Term(term), lsn: Lsn(lsn) }
     }
 
-    /// Raises both parts to at least those of `other`.
+    /// Raises the term and the LSN independently to at least those of `other`.
     ///
-    /// Parts rise on their own: an acknowledged position is part of every later term's log, so
-    /// the highest position seen has to be reached in the highest term seen.
+    /// An acknowledged entry is part of the log in every later term, so a reader must reach the highest LSN seen in the
+    /// highest term seen.
     pub fn raise(&mut self, other: Mark) {
         self.term = self.term.max(other.term);
         self.lsn = self.lsn.max(other.lsn);
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,15 +1,23 @@
-//! Typed messages between instances and the objects kept on the platform.
+//! Messages between instances, and the objects stored on the platform.
 //!
-//! | module | holds |
+//! | module
+//! contents |
 //! | --- | --- |
-//! | [`ids`] | names, terms, log positions, marks, runs of a server's process |
+//! | [`ids`]
+//! names, terms, log positions, incarnations of server processes |
 //! | [`group`] | database groups, their servers and read policies |
-//! | [`plan`] | an operator's intent, its plan and its progress |
-//! | [`fact`] | versioned facts and digests spread between instances |
-//! | [`member`] | membership datagrams |
-//! | [`peer`] | statements and control requests over a peer link |
-//! | [`revision`] | states of the platform's store |
-//! | [`status`] | what an instance shows to an operator |
+//! | [`plan`]
+//! operator intents, and the plans made from them with their progress |
+//! | [`fact`]
+//! versioned facts and digests that instances gossip |
+//! | [`member`]
+//! membership datagrams |
+//! | [`peer`]
+//! statements and control requests on the link between two instances |
+//! | [`revision`]
+//! revisions of the platform's store |
+//! | [`status`]
+//! status reports of an instance for operators |
 
 pub mod fact;
 pub mod group;
--- a/crates/proto/src/member.rs
+++ b/crates/proto/src/member.rs
@@ -10,99 +10,99 @@
     strum::{Display, IntoStaticStr},
 };
 
-/// What is held of a member; its chart is `member.toml` in `pondtrack-core`.
+/// State of a member. The transitions are defined in `member.toml` of `pondtrack-core`.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Display, IntoStaticStr,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum MemberState {
-    /// Answers probes.
+    /// The member answers probes.
     Alive,
-    /// Missed a probe, direct and indirect; may still refute it.
+    /// The member missed a direct and the indirect probes, and may still refute the suspicion.
     Suspect,
-    /// Alive, takes no new work and will end.
+    /// The member is alive, accepts no new work and is shutting down.
     Leaving,
-    /// Gone.
+    /// The member is considered dead.
     Dead,
 }
 
-/// One member as told from instance to instance.
+/// Membership entry that instances gossip about one another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberView {
-    /// The instance.
+    /// Name of the instance.
     pub name: Name,
-    /// Where its peer link and datagram socket listen.
+    /// Address of the peer link and of the datagram socket.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Name,
-    /// Raised by the member itself, on a start and to refute a suspicion.
+    /// Incarnation number, which only the member itself raises: at a start, and to refute a suspicion.
     pub incarnation: u64,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
 }
 
-/// A datagram between two instances.
+/// Datagram between two instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The sender as it sees itself.
+    /// Membership entry of the sender about itself.
     pub from: MemberView,
-    /// The hash over all facts of the sender.
+    /// Hash over all facts of the sender.
     pub facts: u64,
-    /// Member changes passed on.
+    /// Piggybacked membership updates.
     pub news: Vec<MemberView>,
-    /// The message itself.
+    /// Message of the datagram.
     pub body: Payload,
 }
 
-/// The messages of membership and of the spread of facts.
+/// Messages of the membership protocol and of the gossip of facts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Asks for an [`Payload::Ack`].
+    /// Direct probe; the receiver answers with [`Payload::Ack`].
     Ping {
-        /// Matches the answer.
+        /// Sequence number, repeated in the answer.
         seq: u64,
     },
-    /// Answers a ping; `about` is set when it was passed on for another.
+    /// Answer to a probe; `about` is set if the probe was relayed for another instance.
     Ack {
-        /// The sequence number of the ping.
+        /// Sequence number of the probe.
         seq: u64,
-        /// The member that answered.
+        /// Member that answered the probe.
         about: Name,
     },
-    /// Asks the receiver to ping another member.
+    /// Indirect probe: the receiver pings another member for the sender.
     PingFor {
-        /// Matches the answer.
+        /// Sequence number, repeated in the answer.
         seq: u64,
-        /// The member to ping.
+        /// Member to ping.
         target: Name,
-        /// Its address.
+        /// Address of the member to ping.
         addr: SocketAddr,
     },
-    /// Asks for the members the receiver knows.
+    /// Request for the receiver's list of members.
     Join,
-    /// Some members; a large fleet comes in several.
+    /// Part of a list of members; the list of a large fleet takes several datagrams.
     Members,
-    /// Facts pushed or asked for.
+    /// Facts that are pushed, or that were requested.
     Facts {
-        /// The facts.
+        /// Facts with their values.
         facts: Vec<Fact>,
     },
-    /// The sender's bucket hashes; the receiver answers with what differs.
+    /// Bucket hashes of the sender; the receiver answers with the buckets that differ.
     Compare {
-        /// The digest.
+        /// Digest over all facts of the sender.
         digest: Digest,
     },
-    /// Keys and versions in buckets that differ; the receiver sends what is newer and asks for the rest.
+    /// Keys and versions in differing buckets. The receiver sends its newer facts and requests those that it lacks.
     Versions {
-        /// Keys with versions.
+        /// Keys with their versions.
         keys: Vec<(FactKey, u64)>,
-        /// Buckets that this list covers wholly.
+        /// Buckets of which the list contains every key.
         buckets: Vec<u8>,
     },
-    /// Asks for facts.
+    /// Request for facts.
     Want {
-        /// The keys.
+        /// Keys of the requested facts.
         keys: Vec<FactKey>,
     },
 }
--- a/crates/proto/src/peer.rs
+++ b/crates/proto/src/peer.rs
@@ -1,4 +1,4 @@
-//! Statements and control requests over a peer link.
+//! Statements and control requests on the link between two instances.
 
 use {
     crate::ids::{Mark, Name, Term},
@@ -6,23 +6,23 @@
     strum::{Display, IntoStaticStr},
 };
 
-/// What a batch of statements needs.
+/// Class of a batch of statements, which decides the servers that may run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Class {
-    /// Reads only; a replica may answer.
+    /// The batch only reads, so a replica may run it.
     Read,
-    /// May write; needs the primary.
+    /// The batch may write, so the primary has to run it.
     Write,
     /// Begins a transaction.
     Begin,
-    /// Ends a transaction and makes it last.
+    /// Commits a transaction.
     Commit,
-    /// Ends a transaction and drops it.
+    /// Rolls a transaction back.
     Rollback,
 }
 
-/// The transaction state after a batch, as on the wire of PostgreSQL.
+/// Transaction status after a batch, as in PostgreSQL's `ReadyForQuery`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TxnState {
     /// Outside a transaction.
@@ -30,207 +30,207 @@
     Idle,
     /// Inside a transaction.
     Open,
-    /// Inside a transaction that has failed.
+    /// Inside a failed transaction.
     Failed,
 }
 
-/// A batch of statements on its way to a home.
+/// Batch of statements sent to a home instance of its group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Matches the reply; unique on the sending instance.
+    /// Request id, repeated in the reply; unique on the sending instance.
     pub id: u64,
-    /// The caller's session, unique on the sending instance.
+    /// Id of the caller's session, unique on the sending instance.
     pub stream: u64,
-    /// The caller, for taking turns.
+    /// Caller on whose behalf the batch runs, for fair queueing.
     pub caller: Name,
-    /// The group.
+    /// Group that runs the batch.
     pub group: Name,
-    /// What it needs.
+    /// Class of the batch.
     pub class: Class,
-    /// Whether the session has a transaction open at the receiver.
+    /// Set if the session has an open transaction at the receiver.
     pub pinned: bool,
-    /// The least position a read has to show.
+    /// Minimum log position that a read has to reflect.
     pub mark: Mark,
-    /// Set when the session first needs all that was acknowledged before now.
+    /// Set if the session first needs every commit acknowledged up to now.
     pub barrier: bool,
-    /// The age a read may have, in milliseconds.
+    /// Maximum staleness of a read, in milliseconds.
     pub age_ms: Option<u32>,
-    /// The request key of a statement that runs once at most.
+    /// Idempotency key of a statement that runs at most once.
     pub key: Option<Name>,
-    /// Session settings to be in force.
+    /// Session settings that have to be in effect.
     pub settings: Vec<(Name, Name)>,
-    /// Whether the batch itself changes settings of the connection.
+    /// Set if the batch itself changes settings of the connection.
     pub sets: bool,
-    /// One id from the caller to the upstream.
+    /// Trace id, the same from the caller to the upstream.
     pub trace: u64,
-    /// Milliseconds left until the request is given up.
+    /// Time left until the deadline of the request, in milliseconds.
     pub left_ms: u32,
-    /// The messages of the caller, ended by a query or a sync.
+    /// Protocol messages of the caller, up to and including a Query or Sync.
     pub frames: Vec<u8>,
 }
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The frames are the upstream's whole answer.
+    /// Completed: the frames contain the upstream's whole answer.
     Done,
-    /// Provably without effect.
+    /// Not run, provably without effect.
     NotRun {
-        /// Why.
+        /// Reason for the refusal.
         reason: Name,
-        /// When to come back, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_ms: u32,
     },
-    /// May have run.
+    /// Indeterminate: the batch may have run.
     Unknown {
-        /// Why it can't be told.
+        /// Reason why the result is unknown.
         reason: Name,
     },
-    /// Refused by its key.
+    /// Refused because of its idempotency key.
     Key {
-        /// Why.
+        /// Reason for the refusal.
         reason: Name,
     },
 }
 
-/// Who answered.
+/// Role of the server that answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Served {
-    /// Nobody.
+    /// No server answered.
     #[default]
     None,
-    /// The primary.
+    /// Answered by the primary.
     Primary,
-    /// A replica.
+    /// Answered by a replica.
     Replica,
 }
 
-/// The answer to a [`Request`].
+/// Reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// The request's id.
+    /// Id of the request.
     pub id: u64,
-    /// How it ended.
+    /// Result of the request.
     pub outcome: Outcome,
-    /// What the session has seen.
+    /// Log position that the session has observed.
     pub mark: Mark,
-    /// The transaction state after it.
+    /// Transaction status after the request.
     pub txn: TxnState,
-    /// Who answered.
+    /// Role of the server that answered.
     pub served: Served,
-    /// The messages for the caller, up to and with ready-for-query.
+    /// Protocol messages for the caller, up to and including ReadyForQuery.
     pub frames: Vec<u8>,
 }
 
-/// A message on a peer link.
+/// Message on the link between two instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMsg {
-    /// The first message: who connects.
+    /// First message of a link, which identifies the sender.
     Hello {
-        /// The sender.
+        /// Name of the sender.
         from: Name,
     },
     /// A batch to run.
     Request(Request),
-    /// Its answer.
+    /// Reply to a batch.
     Reply(Reply),
-    /// The session is gone; its transaction, if any, is rolled back.
+    /// The session was closed. Its transaction, if any, is rolled back.
     Close {
-        /// The session.
+        /// Id of the session.
         stream: u64,
     },
-    /// Tells a sender whose requests still run that the link and the receiver are well.
+    /// Keepalive for a sender whose requests are still running: the link and the receiver are healthy.
     Beat,
-    /// Stop what the session runs now.
+    /// Cancels the running batch of a session.
     Cancel {
-        /// The session.
+        /// Id of the session.
         stream: u64,
     },
-    /// A caller's cancel request that belongs to another instance.
+    /// A caller's cancel request, forwarded to the instance of its session.
     CancelFor {
-        /// The process id given to the caller.
+        /// Process id that was issued to the caller.
         pid: i32,
-        /// The secret given to the caller.
+        /// Secret that was issued to the caller.
         secret: i32,
     },
-    /// Asks whether the receiver hears a primary of a group; it asks the primary anew.
+    /// Asks if the receiver reaches a primary of a group. The receiver probes the primary again before it replies.
     Heard {
-        /// Matches the answer.
+        /// Query id, repeated in the reply.
         id: u64,
-        /// The group.
+        /// Name of the group.
         group: Name,
     },
-    /// Answers [`PeerMsg::Heard`].
+    /// Reply to [`PeerMsg::Heard`].
     HeardReply {
-        /// The id of the question.
+        /// Id of the query.
         id: u64,
-        /// The term of the primary that answered just now; none when none did.
+        /// Term of the primary that answered the probe; none if no primary answered.
         term: Option<Term>,
-        /// Whether commits wait at the receiver for replicas that don't advance.
+        /// Set if commits at the receiver wait for replicas that make no progress.
         stalled: bool,
     },
-    /// Asks a home to queue new work for the primary.
+    /// Asks a home instance to queue new work for the primary.
     Hold {
-        /// Matches the answer.
+        /// Query id, repeated in the reply.
         id: u64,
-        /// The group.
+        /// Name of the group.
         group: Name,
-        /// How long at most, in milliseconds.
+        /// Maximum duration of the pause, in milliseconds.
         ms: u32,
     },
-    /// Answers [`PeerMsg::Hold`] when no transaction is open, or the time is up.
+    /// Reply to [`PeerMsg::Hold`], sent once no transaction is open or the time is over.
     Held {
-        /// The id of the question.
+        /// Id of the query.
         id: u64,
-        /// Transactions still open.
+        /// Number of transactions still open.
         open: u32,
     },
-    /// Ends a hold.
+    /// Ends a pause.
     Release {
-        /// The group.
+        /// Name of the group.
         group: Name,
     },
-    /// An operator's question, passed on.
+    /// Forwarded query of an operator.
     Ask {
-        /// Matches the answer.
+        /// Query id, repeated in the reply.
         id: u64,
-        /// The question.
+        /// Forwarded query.
         question: Question,
     },
-    /// Answers [`PeerMsg::Ask`] with JSON.
+    /// Reply to [`PeerMsg::Ask`], encoded as JSON.
     Told {
-        /// The id of the question.
+        /// Id of the query.
         id: u64,
-        /// The answer.
+        /// Result as JSON.
         json: String,
     },
-    /// Asks a home for a part of the terms that it has taken ahead.
+    /// Asks a home instance for some of the terms that it has reserved in advance.
     Terms {
-        /// Matches the answer.
+        /// Query id, repeated in the reply.
         id: u64,
-        /// The group.
+        /// Name of the group.
         group: Name,
-        /// The highest term known to the sender: only higher ones are of use.
+        /// Highest term known to the sender. Only higher terms are useful.
         known: Term,
     },
-    /// Answers [`PeerMsg::Terms`].
+    /// Reply to [`PeerMsg::Terms`].
     TermsReply {
-        /// The id of the question.
+        /// Id of the query.
         id: u64,
-        /// The first term and the one after the last, now the sender's alone; none when there is none to spare.
+        /// Half-open range of terms, now owned by the asking instance alone; none if the receiver has none to spare.
         block: Option<(Term, Term)>,
     },
 }
 
-/// What an instance asks another for an operator.
+/// Query of an operator that one instance forwards to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
-    /// Its [`crate::status::InstanceStatus`].
+    /// Requests the [`crate::status::InstanceStatus`] of the receiver.
     Status,
-    /// Its recorded decisions about a subject, or all.
+    /// Requests the recorded decisions of the receiver.
     Explain {
-        /// The subject.
+        /// Subject of the decisions; none for all decisions.
         subject: Option<Name>,
     },
 }
--- a/crates/proto/src/plan.rs
+++ b/crates/proto/src/plan.rs
@@ -1,4 +1,4 @@
-//! An operator's intent, the plan made from it, and its progress.
+//! Operator intents, and the plans made from them with their progress.
 
 use {
     crate::ids::Name,
@@ -6,130 +6,130 @@
     strum::{Display, EnumString, IntoStaticStr},
 };
 
-/// What an operator wants.
+/// Change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Intent {
-    /// Send no new work to a server; a primary is switched away first.
+    /// Sends no new work to a server. If it is the primary, another server is promoted first.
     Drain {
-        /// The group.
+        /// Group of the server.
         group: Name,
-        /// The server.
+        /// Server to drain.
         server: Name,
     },
-    /// Use a drained server again.
+    /// Returns a drained server to service.
     Return {
-        /// The group.
+        /// Group of the server.
         group: Name,
-        /// The server.
+        /// Server to return.
         server: Name,
     },
-    /// Make another server the primary.
+    /// Makes another server the primary.
     Switch {
-        /// The group.
+        /// Group to switch.
         group: Name,
-        /// The next primary.
+        /// New primary.
         server: Name,
     },
-    /// Let an instance finish its work and end.
+    /// Lets an instance finish its work and shut down.
     Stop {
-        /// The instance.
+        /// Instance to stop.
         instance: Name,
     },
-    /// Create or change a group.
+    /// Creates or changes a group.
     Configure {
-        /// The whole configuration wanted.
+        /// Complete desired configuration.
         spec: crate::group::GroupSpec,
     },
 }
 
-/// The life cycle of a plan; its chart is `plan.toml` in `pondtrack-core`.
+/// Life cycle of a plan. The transitions are defined in `plan.toml` of `pondtrack-core`.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Display, EnumString, IntoStaticStr,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum PlanState {
-    /// Shown to the operator; nothing has changed.
+    /// Shown to the operator; nothing has changed yet.
     Proposed,
-    /// Confirmed; an instance works on it.
+    /// Confirmed by the operator; an instance is executing the steps.
     Running,
     /// Every step is done.
     Done,
-    /// Ended by an operator before its end.
+    /// Aborted by an operator before the last step.
     Aborted,
-    /// A step can't be done; the reason is on the step.
+    /// A step can't be done; the step holds the reason.
     Failed,
 }
 
-/// How far a step is.
+/// Progress of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepState {
-    /// Not begun.
+    /// Not started.
     Waiting,
     /// Done.
     Done,
-    /// Can't be done.
+    /// The step can't be done.
     Failed {
-        /// Why.
+        /// Reason for the failure.
         reason: String,
     },
 }
 
-/// One step of a plan; doing it twice has the effect of doing it once.
+/// One step of a plan. Steps are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "do")]
 pub enum Step {
-    /// Make a server the primary: hold new writes, catch up, promote.
+    /// Promotes a server: holds new writes, waits for the server to catch up, and makes it the primary.
     Switch {
-        /// The group.
+        /// Group to switch.
         group: Name,
-        /// The next primary.
+        /// New primary.
         server: Name,
     },
-    /// Set or clear the draining mark of a server.
+    /// Sets or clears the draining flag of a server.
     Mark {
-        /// The group.
+        /// Group of the server.
         group: Name,
-        /// The server.
+        /// Server to mark.
         server: Name,
-        /// The mark.
+        /// New value of the flag.
         draining: bool,
     },
-    /// Write a group's configuration.
+    /// Writes the configuration of a group.
     Write {
-        /// The configuration.
+        /// Configuration to write.
         spec: crate::group::GroupSpec,
     },
-    /// Tell an instance to leave.
+    /// Orders an instance to leave the fleet.
     Leave {
-        /// The instance.
+        /// Instance to stop.
         instance: Name,
     },
 }
 
-/// A plan as kept on the platform.
+/// A plan, as stored on the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The plan's name.
+    /// Name of the plan.
     pub name: Name,
-    /// What the operator asked for.
+    /// Change requested by the operator.
     pub intent: Intent,
-    /// Who asked.
+    /// Operator who requested the change.
     pub operator: Name,
-    /// What will happen, in words, a line each.
+    /// Descriptions of the effects, one line each.
     pub effects: Vec<String>,
-    /// Object versions the plan was made from: kind, name, version.
+    /// Object versions from which the plan was made: kind, name, version.
     pub basis: Vec<(String, Name, u64)>,
-    /// The steps with their progress.
+    /// Steps with their progress.
     pub steps: Vec<(Step, StepState)>,
-    /// Where the plan stands.
+    /// State of the plan.
     pub state: PlanState,
-    /// The instance that last worked on it.
+    /// Instance that last worked on the plan.
     pub worker: Name,
-    /// What happened, a line each, oldest first.
+    /// Execution log, one line per event, oldest first.
     pub log: Vec<String>,
-    /// The id of the last change, by which a lost answer is recognised.
+    /// Id of the last change, which identifies a write whose response was lost.
     pub change: u64,
 }
--- a/crates/proto/src/revision.rs
+++ b/crates/proto/src/revision.rs
@@ -5,32 +5,32 @@
     std::fmt,
 };
 
-/// Bits of the number; the era has the rest.
+/// Bits of the change number; the remaining bits hold the era.
 const NUMBER_BITS: u32 = 40;
 
-/// A state of the store. The era counts how often the store came back from an older copy; the number counts its changes, and
-/// goes back with the copy. A later era is newer, whatever the number.
+/// State of the store. The era counts how often the store was restored from an older copy. The number counts the
+/// changes, and goes back with a restore. A revision of a later era is newer, whatever its number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision(u64);
 
 impl Revision {
-    /// The state after so many changes in an era.
+    /// Creates the revision after `number` changes in an era.
     pub fn new(era: u64, number: u64) -> Revision {
-        let most = (1 << NUMBER_BITS) - 1;
-        Revision(era << NUMBER_BITS | number.min(most))
+        let max_number = (1 << NUMBER_BITS) - 1;
+        Revision(era << NUMBER_BITS | number.min(max_number))
     }
 
-    /// How often the store had come back from an older copy.
+    /// Returns the number of restores from an older copy.
     pub fn era(self) -> u64 {
         self.0 >> NUMBER_BITS
     }
 
-    /// What the store itself calls the revision.
+    /// Returns the revision number of the store itself.
     pub fn number(self) -> u64 {
         self.0 & ((1 << NUMBER_BITS) - 1)
     }
 
-    /// A number that is higher for a newer state.
+    /// Returns a number that is higher for a newer state.
     pub fn order(self) -> u64 {
         self.0
     }
--- a/crates/proto/src/status.rs
+++ b/crates/proto/src/status.rs
@@ -1,4 +1,4 @@
-//! What an instance shows to an operator.
+//! Status reports of an instance for operators.
 
 use {
     crate::{
@@ -8,90 +8,90 @@
     serde::{Deserialize, Serialize},
 };
 
-/// One recorded decision with its evidence.
+/// A recorded decision with its evidence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// Milliseconds since the epoch by the instance's own clock; for people only.
+    /// Unix time in milliseconds by the clock of the instance. Clocks of instances differ: only for display.
     pub at_ms: u64,
-    /// The instance that decided.
+    /// Instance that decided.
     pub instance: Name,
-    /// What it is about: a group, a member, a plan.
+    /// Subject of the decision: a group, a member or a plan.
     pub subject: Name,
-    /// What was decided.
+    /// Description of the decision.
     pub what: String,
-    /// The evidence at that moment.
+    /// Evidence at the time of the decision.
     pub evidence: String,
 }
 
-/// One server as seen by a home.
+/// A server as observed by a home instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// The server.
+    /// Name of the server.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: Name,
-    /// `primary`, `replica`, `fenced` or `unreachable`.
+    /// Role: `primary`, `replica`, `fenced` or `unreachable`.
     pub role: String,
-    /// Its term.
+    /// Term of the server.
     pub term: Term,
-    /// The end of its log, with the last entry's term.
+    /// End of the log of the server, with the term of the last entry.
     pub received: Mark,
-    /// What its reads show.
+    /// Log position that reads on the server reflect.
     pub applied: Lsn,
-    /// Milliseconds since it was last heard.
+    /// Time since the last contact with the server, in milliseconds; none before the first contact.
     pub heard_ms: Option<u64>,
-    /// Connections open from this instance.
+    /// Number of open connections from this instance.
     pub connections: u32,
-    /// Connections this instance may open.
+    /// Maximum number of connections from this instance.
     pub share: u32,
-    /// Set while it is drained.
+    /// Set while the server is drained.
     pub draining: bool,
 }
 
-/// One group as seen by an instance.
+/// A group as observed by an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// The group.
+    /// Name of the group.
     pub name: Name,
-    /// The version of its configuration.
+    /// Version of the group's configuration.
     pub version: u64,
-    /// Its home instances, the first one first.
+    /// Home instances, the preferred instance first.
     pub homes: Vec<Name>,
-    /// The servers, empty when this instance is no home.
+    /// Servers; empty if this instance is not a home of the group.
     pub servers: Vec<ServerStatus>,
-    /// Requests queued here.
+    /// Number of requests queued on this instance.
     pub queued: u32,
-    /// Terms this instance may promote with.
+    /// Number of reserved terms with which this instance may promote.
     pub grants: u32,
 }
 
-/// One member as seen by an instance.
+/// A member as observed by an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The instance.
+    /// Name of the instance.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Name,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// Its incarnation.
+    /// Incarnation number of the member.
     pub incarnation: u64,
 }
 
-/// An instance's own report.
+/// Status report of an instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// The instance.
+    /// Name of the instance.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Name,
-    /// Set while it leaves.
+    /// Set while the instance is leaving.
     pub leaving: bool,
-    /// Callers' sessions.
+    /// Number of sessions of callers.
     pub sessions: u32,
-    /// The members it knows.
+    /// Known members.
     pub members: Vec<MemberStatus>,
-    /// The groups it knows.
+    /// Known groups.
     pub groups: Vec<GroupStatus>,
     /// Counters by name.
     pub counters: Vec<(String, u64)>,
--- a/crates/proto/tests/group.rs
+++ b/crates/proto/tests/group.rs
@@ -1,4 +1,4 @@
-//! Groups: the example is accepted, and what is wrong is named.
+//! Validation of group configurations: the example file is valid, and an error names the invalid field.
 
 use {
     pondtrack_proto::{GroupSpec, ReadPolicy, SpecError},
@@ -7,18 +7,18 @@
 
 fn example() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/parts.json");
-    fs::read_to_string(path).expect("the example is there")
+    fs::read_to_string(path).expect("the example file exists")
 }
 
 #[test]
-fn the_example_is_accepted() {
-    let it = GroupSpec::parse(example().as_bytes()).expect("it is accepted");
-    assert_eq!((it.majority(), it.policy), (2, ReadPolicy::MaxAge { ms: 2_000 }));
-    assert_eq!(it.server("parts-1"), Some(1));
+fn example_is_valid() {
+    let spec = GroupSpec::parse(example().as_bytes()).expect("the example is valid");
+    assert_eq!((spec.majority(), spec.policy), (2, ReadPolicy::MaxAge { ms: 2_000 }));
+    assert_eq!(spec.server("parts-1"), Some(1));
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn error_names_the_invalid_field() {
     let cases = [
         ("\"limit\": 25", "\"limit\": 1", "limit"),
         ("\"name\": \"parts\"", "\"name\": \"Parts!\"", "name"),
@@ -27,7 +27,7 @@
     ];
     for (from, to, field) in cases {
         let text = example().replace(from, to);
-        let error = GroupSpec::parse(text.as_bytes()).expect_err("it is refused");
+        let error = GroupSpec::parse(text.as_bytes()).expect_err("the configuration is invalid");
         assert!(matches!(&error, SpecError::Value { field: f, .. } if f == field), "{error}");
     }
     let error = GroupSpec::parse(example().replace("\"limit\"", "\"limits\"").as_bytes());
