--- a/crates/core/benches/ratios.rs
+++ b/crates/core/benches/ratios.rs
@@ -8,7 +8,7 @@
         place,
         quota::{Demand, Limiter, Limits, SLOTS, Slots},
     },
-    pondtrack_proto::{GroupSpec, Lsn, Mark, MemberState, MemberView, Name, ServerSpec, Term},
+    pondtrack_proto::{GroupSpec, LogPosition, Lsn, MemberState, MemberView, Name, ServerSpec, Term},
     std::{hint::black_box, process::ExitCode, time::Instant},
 };
 
@@ -92,7 +92,7 @@
     let mut it = Members::new(me, Vec::new(), MemberConfig::default(), 1);
     for from in all {
         let body = pondtrack_proto::Payload::Members;
-        it.receive(0, pondtrack_proto::Datagram { from, facts: 0, news: Vec::new(), body });
+        it.receive(0, pondtrack_proto::Datagram { from, facts: 0, updates: Vec::new(), body });
     }
     it
 }
@@ -111,11 +111,11 @@
     time(|| {
         let mut it = Gate::new(3, 2);
         it.begin(Term(1));
-        it.observe(0, Term(1), Mark::new(1, n));
+        it.observe(0, Term(1), LogPosition::new(1, n));
         for lsn in 1..=n {
             black_box(it.hold(Term(1), Lsn(lsn)));
         }
-        it.observe(1, Term(1), Mark::new(1, n)).len()
+        it.observe(1, Term(1), LogPosition::new(1, n)).len()
     })
 }
 
--- a/crates/core/src/fresh.rs
+++ b/crates/core/src/fresh.rs
@@ -7,7 +7,7 @@
 
 use {
     crate::Time,
-    pondtrack_proto::{Lsn, Mark, Term},
+    pondtrack_proto::{LogPosition, Lsn, Term},
     std::collections::VecDeque,
 };
 
@@ -31,7 +31,7 @@
 pub struct Freshness {
     quorum: usize,
     term: Term,
-    seen: VecDeque<(Time, Mark)>,
+    seen: VecDeque<(Time, LogPosition)>,
     confirmed: Vec<Option<Time>>,
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// The primary of `term` showed the position `at` in the answer to a question sent at `sent`.
-    pub fn observe(&mut self, term: Term, at: Mark, sent: Time) {
+    pub fn observe(&mut self, term: Term, at: LogPosition, sent: Time) {
         if term != self.term || self.seen.back().is_some_and(|it| it.0 > sent) {
             return;
         }
@@ -101,7 +101,7 @@
     }
 
     /// The lowest position that holds everything acknowledged before `since`, and when it was asked for.
-    pub fn needed(&self, since: Time) -> Option<(Time, Mark)> {
+    pub fn needed(&self, since: Time) -> Option<(Time, LogPosition)> {
         let confirmed = self.confirmed_at()?;
         let n = self.seen.partition_point(|it| it.0 < since);
         self.seen.get(n).filter(|it| it.0 <= confirmed).copied()
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -10,7 +10,7 @@
 //! server with a shorter log of a term in between would still win against it. The exhaustive walk in
 //! `testbed` found that.
 
-use pondtrack_proto::{Lsn, Mark, Term};
+use pondtrack_proto::{LogPosition, Lsn, Term};
 
 /// Names a held acknowledgement; unique for the life of a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -32,7 +32,7 @@
 pub struct Gate {
     quorum: usize,
     term: Term,
-    logs: Vec<Mark>,
+    logs: Vec<LogPosition>,
     held: Vec<(Lsn, Ticket)>,
     next: u64,
 }
@@ -40,17 +40,17 @@
 impl Gate {
     /// A gate over `servers` servers, of which `quorum` make a majority.
     pub fn new(servers: usize, quorum: usize) -> Gate {
-        Gate { quorum, term: Term(0), logs: vec![Mark::default(); servers], held: Vec::new(), next: 0 }
+        Gate { quorum, term: Term(0), logs: vec![LogPosition::default(); servers], held: Vec::new(), next: 0 }
     }
 
     /// Makes room for another server of the group.
     pub fn grow(&mut self, servers: usize) {
-        self.logs.resize(servers.max(self.logs.len()), Mark::default());
+        self.logs.resize(servers.max(self.logs.len()), LogPosition::default());
     }
 
     /// A server no longer holds what it showed: it has lost its log, or started again.
     pub fn forget_server(&mut self, server: usize) {
-        self.logs[server] = Mark::default();
+        self.logs[server] = LogPosition::default();
     }
 
     /// The term whose commits it lets out.
@@ -73,7 +73,7 @@
     }
 
     /// A server that knows `term` shows the last entry of its log; hands back the tickets that may go out.
-    pub fn observe(&mut self, server: usize, term: Term, last: Mark) -> Vec<Ticket> {
+    pub fn observe(&mut self, server: usize, term: Term, last: LogPosition) -> Vec<Ticket> {
         if term != self.term || last.term != term {
             return Vec::new();
         }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -293,7 +293,7 @@
     /// Takes a datagram.
     pub fn receive(&mut self, now: Time, gram: Datagram) -> Output {
         let mut out = Output::default();
-        let Datagram { from, facts, news, body } = gram;
+        let Datagram { from, facts, updates: news, body } = gram;
         if from.name == self.me.name {
             return out;
         }
@@ -315,7 +315,7 @@
                 self.send(addr, Payload::Ack { seq, about }, &mut out);
             }
             Payload::Ack { seq, about } => self.acked(seq, about, &mut out),
-            Payload::PingFor { seq, addr: to, .. } => {
+            Payload::PingReq { seq, addr: to, .. } => {
                 self.seq += 1;
                 let until = now + self.config.direct + self.config.indirect;
                 self.errands.push(Errand { seq: self.seq, origin: addr, asked: seq, until });
@@ -408,7 +408,7 @@
         helpers.sort_unstable();
         for (_, _, to) in helpers.into_iter().take(self.config.helpers) {
             let (seq, target) = (probe.seq, probe.target.clone());
-            self.send(to, Payload::PingFor { seq, target, addr }, out);
+            self.send(to, Payload::PingReq { seq, target, addr }, out);
         }
         self.send(addr, Payload::Ping { seq: probe.seq }, out);
         self.probes.push(Probe { stage: Stage::Indirect, until: now + self.config.indirect, ..probe });
@@ -606,7 +606,7 @@
     }
 
     fn datagram(&self, news: Vec<MemberView>, body: Payload) -> Datagram {
-        Datagram { from: self.me.clone(), facts: self.spread.hash(), news, body }
+        Datagram { from: self.me.clone(), facts: self.spread.hash(), updates: news, body }
     }
 }
 
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -227,7 +227,7 @@
 fn configure(outlook: &Outlook, spec: &GroupSpec) -> Result<Parts, PlanError> {
     let mut spec = spec.clone();
     spec.servers.sort_by(|a, b| a.name.cmp(&b.name));
-    spec.check().map_err(|e| PlanError::Unsafe { reason: e.to_string() })?;
+    spec.validate().map_err(|e| PlanError::Unsafe { reason: e.to_string() })?;
     let old = find_group(outlook, &spec.name).ok();
     let version = old.map_or(0, |it| it.1);
     let effects = match old {
@@ -246,12 +246,12 @@
 
 /// One server at a time may come or go, so that any two majorities, old and new, share a server.
 fn check_change(old: &GroupSpec, new: &GroupSpec) -> Result<(), PlanError> {
-    let gone = old.servers.iter().filter(|it| new.server(&it.name).is_none()).count();
-    let come = new.servers.iter().filter(|it| old.server(&it.name).is_none()).count();
+    let gone = old.servers.iter().filter(|it| new.server_index(&it.name).is_none()).count();
+    let come = new.servers.iter().filter(|it| old.server_index(&it.name).is_none()).count();
     let moved = new
         .servers
         .iter()
-        .filter(|it| old.server(&it.name).is_some_and(|at| old.servers[at].addr != it.addr));
+        .filter(|it| old.server_index(&it.name).is_some_and(|at| old.servers[at].addr != it.addr));
     if gone + come + moved.count() > 0 {
         let reason = "the servers of a group can't be changed while it is in use: a majority of the new \
                       servers might hold none of the old ones' log; create another group";
@@ -285,7 +285,7 @@
 }
 
 fn find_server<'a>(spec: &'a GroupSpec, name: &Name) -> Result<&'a ServerSpec, PlanError> {
-    spec.server(name).map(|at| &spec.servers[at]).ok_or_else(|| PlanError::Unknown {
+    spec.server_index(name).map(|at| &spec.servers[at]).ok_or_else(|| PlanError::Unknown {
         kind: "server",
         name: name.clone(),
         known: join(spec.servers.iter().map(|it| &it.name)),
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -10,7 +10,7 @@
 
 use {
     crate::Time,
-    pondtrack_proto::{Mark, Term},
+    pondtrack_proto::{LogPosition, Term},
 };
 
 /// A server that came back.
@@ -23,7 +23,7 @@
     /// The newest term that was known when it was first heard.
     term: Option<Term>,
     /// What the primary held after it came back.
-    goal: Option<Mark>,
+    goal: Option<LogPosition>,
     /// Whether a replica has received that much.
     whole: bool,
 }
@@ -51,14 +51,14 @@
     }
 
     /// The primary held `at` when it was asked at `asked`.
-    pub fn led(&mut self, at: Mark, asked: Time) {
+    pub fn led(&mut self, at: LogPosition, asked: Time) {
         if asked >= self.since {
             self.goal = self.goal.or(Some(at));
         }
     }
 
     /// A replica that follows the newest primary ends its log at `at`.
-    pub fn received(&mut self, at: Mark) {
+    pub fn received(&mut self, at: LogPosition) {
         self.whole |= self.goal.is_some_and(|goal| at >= goal);
     }
 
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::Time,
-    pondtrack_proto::{Lsn, Mark, Name, Term},
+    pondtrack_proto::{LogPosition, Lsn, Name, Term},
 };
 
 /// Costs and bounds of the choice, in milliseconds.
@@ -43,7 +43,7 @@
     /// Its term.
     pub term: Term,
     /// The last entry of its log.
-    pub received: Mark,
+    pub received: LogPosition,
     /// What its reads show.
     pub applied: Lsn,
     /// How far it was behind the primary lately, in milliseconds.
@@ -75,7 +75,7 @@
 ///
 /// Its log has to end with an entry of the term it follows: then a majority, the primary and itself,
 /// holds all it shows. A term below the mark's may show what was dropped since.
-pub fn may_answer(term: Term, received: Mark, applied: Lsn, mark: Mark) -> bool {
+pub fn may_answer(term: Term, received: LogPosition, applied: Lsn, mark: LogPosition) -> bool {
     received.term == term && term >= mark.term && applied >= mark.lsn
 }
 
@@ -86,7 +86,7 @@
     config: &RouteConfig,
     now: Time,
     zone: &str,
-    mark: Mark,
+    mark: LogPosition,
     candidates: &[Candidate],
     tried: &[usize],
     aged: impl Fn(&Candidate) -> bool,
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -5,7 +5,7 @@
 //! found by comparing hashes, which travel with the probes of [`crate::member`].
 
 use {
-    pondtrack_proto::{BUCKETS, Digest, Fact, FactKey, FactKind, MemberView, Payload},
+    pondtrack_proto::{DIGEST_BUCKETS, Digest, Fact, FactKey, FactKind, MemberView, Payload},
     rand::{Rng, RngExt, seq::SliceRandom},
     strum::{Display, EnumString, IntoStaticStr},
 };
@@ -33,12 +33,12 @@
 #[derive(Clone, Debug)]
 pub struct Spread {
     facts: Vec<Fact>,
-    buckets: [u64; BUCKETS],
+    buckets: [u64; DIGEST_BUCKETS],
 }
 
 impl Default for Spread {
     fn default() -> Spread {
-        Spread { facts: Vec::new(), buckets: [0; BUCKETS] }
+        Spread { facts: Vec::new(), buckets: [0; DIGEST_BUCKETS] }
     }
 }
 
@@ -83,12 +83,12 @@
             Ok(at) if self.facts[at].version >= fact.version => return false,
             Ok(at) => {
                 let old = &self.facts[at];
-                self.buckets[bucket] ^= old.key.hash(old.version);
-                self.buckets[bucket] ^= fact.key.hash(fact.version);
+                self.buckets[bucket] ^= old.key.hash_at(old.version);
+                self.buckets[bucket] ^= fact.key.hash_at(fact.version);
                 self.facts[at] = fact;
             }
             Err(at) => {
-                self.buckets[bucket] ^= fact.key.hash(fact.version);
+                self.buckets[bucket] ^= fact.key.hash_at(fact.version);
                 self.facts.insert(at, fact);
             }
         }
@@ -97,13 +97,13 @@
 
     /// Answers a digest: the versions in every bucket that differs.
     pub fn compare(&self, theirs: &Digest) -> Option<Payload> {
-        if theirs.buckets.len() != BUCKETS {
+        if theirs.buckets.len() != DIGEST_BUCKETS {
             return None;
         }
         let differs = |n: &usize| self.buckets[*n] != theirs.buckets[*n];
         let mut keys = Vec::new();
         let mut buckets = Vec::new();
-        for n in (0..BUCKETS).filter(differs) {
+        for n in (0..DIGEST_BUCKETS).filter(differs) {
             if keys.len() >= KEYS {
                 break;
             }
--- a/crates/core/src/switch.rs
+++ b/crates/core/src/switch.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::chart::Chart,
-    pondtrack_proto::{Mark, Term},
+    pondtrack_proto::{LogPosition, Term},
     std::sync::LazyLock,
     strum::{Display, EnumIter, EnumString, IntoStaticStr},
 };
@@ -91,7 +91,7 @@
     /// The server that was chosen.
     pub chosen: Option<usize>,
     /// Fenced servers with the last entry of their logs, sorted by server.
-    pub fenced: Vec<(usize, Mark)>,
+    pub fenced: Vec<(usize, LogPosition)>,
     quorum: usize,
     prefer: Option<usize>,
     avoid: Vec<usize>,
@@ -119,7 +119,7 @@
     }
 
     /// A server is fenced in `term`, its log ending at `last`.
-    pub fn fenced(&mut self, server: usize, term: Term, last: Mark) -> Vec<Action> {
+    pub fn fenced(&mut self, server: usize, term: Term, last: LogPosition) -> Vec<Action> {
         if term != self.term {
             return Vec::new();
         }
@@ -173,7 +173,7 @@
 
     /// The highest log among the fenced; among equals the preferred server, then one not to be avoided.
     fn choose(&self) -> usize {
-        let rank = |it: &(usize, Mark)| {
+        let rank = |it: &(usize, LogPosition)| {
             (it.1, self.prefer == Some(it.0), !self.avoid.contains(&it.0), std::cmp::Reverse(it.0))
         };
         self.fenced.iter().max_by_key(|it| rank(it)).map(|it| it.0).expect("a majority is fenced")
--- a/crates/core/src/token.rs
+++ b/crates/core/src/token.rs
@@ -4,7 +4,7 @@
 //! than the truth only makes reads wait, and settings are what the caller could set itself.
 
 use {
-    pondtrack_proto::{Mark, Name},
+    pondtrack_proto::{LogPosition, Name},
     serde::{Deserialize, Serialize},
     snafu::Snafu,
 };
@@ -18,7 +18,7 @@
     /// The group it is for.
     pub group: Name,
     /// What the session has seen.
-    pub mark: Mark,
+    pub mark: LogPosition,
     /// The session's settings.
     pub settings: Vec<(Name, Name)>,
 }
@@ -50,7 +50,7 @@
         }
         let group = unhex(next()?)?;
         let number = |it: &str| it.parse::<u64>().map_err(|_| TokenError);
-        let mark = Mark::new(number(next()?)?, number(next()?)?);
+        let mark = LogPosition::new(number(next()?)?, number(next()?)?);
         let rest: Vec<&str> = parts.collect();
         if !rest.len().is_multiple_of(2) {
             return Err(TokenError);
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -122,7 +122,7 @@
         Payload::Want { keys } => keys.len() * 16,
         _ => 16,
     };
-    (40 + gram.news.len() * 32 + body) as u64
+    (40 + gram.updates.len() * 32 + body) as u64
 }
 
 fn fact(name: &str, version: u64) -> Fact {
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -7,7 +7,7 @@
         gate::{Gate, Verdict as Gated},
         recovery::{Recovery, Witness},
     },
-    pondtrack_proto::{Lsn, Mark, Term},
+    pondtrack_proto::{LogPosition, Lsn, Term},
     rstest::rstest,
 };
 
@@ -58,16 +58,16 @@
 #[test]
 fn it_is_whole_once_a_replica_has_what_the_primary_held_after_it_came_back() {
     let mut it = back(1_000, 3);
-    it.led(Mark::new(3, 7), 999);
-    it.received(Mark::new(3, 9));
+    it.led(LogPosition::new(3, 7), 999);
+    it.received(LogPosition::new(3, 9));
     assert!(!it.is_whole(), "the primary was asked before");
-    it.led(Mark::new(3, 8), 1_000);
-    it.led(Mark::new(3, 20), 1_050);
-    it.received(Mark::new(3, 7));
+    it.led(LogPosition::new(3, 8), 1_000);
+    it.led(LogPosition::new(3, 20), 1_050);
+    it.received(LogPosition::new(3, 7));
     assert!(!it.is_whole());
-    it.received(Mark::new(2, 30));
+    it.received(LogPosition::new(2, 30));
     assert!(!it.is_whole(), "a tail of an earlier term");
-    it.received(Mark::new(3, 8));
+    it.received(LogPosition::new(3, 8));
     assert!(it.is_whole());
 }
 
@@ -104,14 +104,14 @@
 fn what_a_server_showed_before_it_started_again_acknowledges_nothing() {
     let mut gate = Gate::new(2, 1);
     gate.begin(Term(1));
-    gate.observe(1, Term(1), Mark::new(1, 12));
+    gate.observe(1, Term(1), LogPosition::new(1, 12));
     assert_eq!(gate.hold(Term(1), Lsn(12)), Gated::Open);
     gate.forget_server(1);
     assert!(matches!(gate.hold(Term(1), Lsn(12)), Gated::Wait(_)));
     let mut fresh = Freshness::new(2, 1);
-    fresh.observe(Term(1), Mark::new(1, 12), 50);
+    fresh.observe(Term(1), LogPosition::new(1, 12), 50);
     fresh.begin(Term(1));
-    fresh.observe(Term(1), Mark::new(1, 12), 50);
+    fresh.observe(Term(1), LogPosition::new(1, 12), 50);
     fresh.confirm(1, Term(1), 60);
     assert!(fresh.needed(40).is_some());
     fresh.forget(1);
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -9,7 +9,7 @@
         retry::{Backoff, Budget},
         route::{Candidate, RouteConfig, Target, choose},
     },
-    pondtrack_proto::{Class, GroupSpec, Lsn, Mark, MemberState, MemberView, Name, ServerSpec, Term},
+    pondtrack_proto::{Class, GroupSpec, LogPosition, Lsn, MemberState, MemberView, Name, ServerSpec, Term},
     rand::SeedableRng,
     rand_pcg::Pcg64Mcg,
     rstest::rstest,
@@ -77,14 +77,14 @@
         open: true,
         heard: Some(1_000),
         term: Term(2),
-        received: Mark::new(2, 100),
+        received: LogPosition::new(2, 100),
         applied: Lsn(applied),
         lag: 5,
         queued: 0,
     }
 }
 
-fn pick(list: &[Candidate], mark: Mark, tried: &[usize]) -> Target {
+fn pick(list: &[Candidate], mark: LogPosition, tried: &[usize]) -> Target {
     choose(&RouteConfig::default(), 1_000, "a", mark, list, tried, |_| true)
 }
 
@@ -92,20 +92,20 @@
 fn reads_go_to_a_replica_that_has_the_mark_or_soon_will() {
     let list = [candidate(0, 100), candidate(1, 90), candidate(2, 100)];
     let replica = |server| Target::Replica { server, wait: 60 };
-    assert_eq!(pick(&list, Mark::new(2, 100), &[]), replica(2));
-    assert_eq!(pick(&list, Mark::new(2, 90), &[]), replica(1));
-    assert_eq!(pick(&list, Mark::new(2, 100), &[2]), replica(1));
-    assert_eq!(pick(&list, Mark::new(2, 100), &[1, 2]), Target::Primary { server: 0 });
+    assert_eq!(pick(&list, LogPosition::new(2, 100), &[]), replica(2));
+    assert_eq!(pick(&list, LogPosition::new(2, 90), &[]), replica(1));
+    assert_eq!(pick(&list, LogPosition::new(2, 100), &[2]), replica(1));
+    assert_eq!(pick(&list, LogPosition::new(2, 100), &[1, 2]), Target::Primary { server: 0 });
 }
 
 #[rstest]
 #[case::lagging(Candidate { lag: 5_000, applied: Lsn(1), ..candidate(1, 0) })]
 #[case::draining(Candidate { open: false, ..candidate(1, 100) })]
 #[case::silent(Candidate { heard: Some(0), ..candidate(1, 100) })]
-#[case::older_term(Candidate { term: Term(1), received: Mark::new(1, 100), ..candidate(1, 100) })]
-#[case::log_of_an_older_term(Candidate { received: Mark::new(1, 100), ..candidate(1, 100) })]
+#[case::older_term(Candidate { term: Term(1), received: LogPosition::new(1, 100), ..candidate(1, 100) })]
+#[case::log_of_an_older_term(Candidate { received: LogPosition::new(1, 100), ..candidate(1, 100) })]
 fn such_a_replica_gets_no_reads(#[case] it: Candidate) {
-    assert_eq!(pick(&[candidate(0, 100), it], Mark::new(2, 50), &[]), Target::Primary { server: 0 });
+    assert_eq!(pick(&[candidate(0, 100), it], LogPosition::new(2, 50), &[]), Target::Primary { server: 0 });
 }
 
 #[test]
@@ -113,9 +113,9 @@
     let far = Candidate { zone: "b".into(), ..candidate(1, 100) };
     let busy = Candidate { queued: 5, ..candidate(2, 100) };
     let list = [candidate(0, 100), far, busy.clone()];
-    assert_eq!(pick(&list, Mark::default(), &[]), Target::Replica { server: 1, wait: 60 });
+    assert_eq!(pick(&list, LogPosition::default(), &[]), Target::Replica { server: 1, wait: 60 });
     let list = [candidate(0, 100), Candidate { queued: 1, ..busy }];
-    assert_eq!(pick(&list, Mark::default(), &[]), Target::Replica { server: 2, wait: 60 });
+    assert_eq!(pick(&list, LogPosition::default(), &[]), Target::Replica { server: 2, wait: 60 });
 }
 
 fn members(n: usize) -> Vec<MemberView> {
--- a/crates/core/tests/safety.rs
+++ b/crates/core/tests/safety.rs
@@ -9,7 +9,7 @@
         switch::{Action, Switch, SwitchState},
         token::Token,
     },
-    pondtrack_proto::{Lsn, Mark, Term, TermRecord},
+    pondtrack_proto::{LogPosition, Lsn, Term, TermRecord},
     rstest::rstest,
 };
 
@@ -24,9 +24,9 @@
 #[test]
 fn one_replica_of_three_opens_the_gate_for_all_behind_it() {
     let mut it = gate();
-    it.observe(PRIMARY, Term(2), Mark::new(2, 9));
+    it.observe(PRIMARY, Term(2), LogPosition::new(2, 9));
     let tickets: Vec<_> = [7, 8, 9].map(|lsn| it.hold(Term(2), Lsn(lsn))).into_iter().collect();
-    let open = it.observe(1, Term(2), Mark::new(2, 8));
+    let open = it.observe(1, Term(2), LogPosition::new(2, 8));
     assert_eq!(open.len(), 2);
     assert_eq!(tickets[0], Verdict::Wait(open[0]));
     assert_eq!(it.waiting(), 1);
@@ -34,13 +34,13 @@
 }
 
 #[rstest]
-#[case::entry_of_an_earlier_term(Term(2), Mark::new(1, 9))]
+#[case::entry_of_an_earlier_term(Term(2), LogPosition::new(1, 9))]
 // Found by the exhaustive walk: the log came by the primary of term 3.
-#[case::server_that_knows_a_later_term(Term(3), Mark::new(2, 9))]
-#[case::server_of_an_earlier_term(Term(1), Mark::new(1, 9))]
-fn what_does_not_count_for_a_majority(#[case] term: Term, #[case] last: Mark) {
+#[case::server_that_knows_a_later_term(Term(3), LogPosition::new(2, 9))]
+#[case::server_of_an_earlier_term(Term(1), LogPosition::new(1, 9))]
+fn what_does_not_count_for_a_majority(#[case] term: Term, #[case] last: LogPosition) {
     let mut it = gate();
-    it.observe(PRIMARY, Term(2), Mark::new(2, 9));
+    it.observe(PRIMARY, Term(2), LogPosition::new(2, 9));
     assert!(matches!(it.hold(Term(2), Lsn(9)), Verdict::Wait(_)));
     assert!(it.observe(1, term, last).is_empty());
     assert_eq!(it.waiting(), 1);
@@ -55,7 +55,7 @@
     assert_eq!(it.durable(), Lsn(0));
 }
 
-fn fence(it: &mut Switch, server: usize, last: Mark) -> Vec<Action> {
+fn fence(it: &mut Switch, server: usize, last: LogPosition) -> Vec<Action> {
     it.fenced(server, Term(5), last)
 }
 
@@ -63,7 +63,7 @@
 fn a_switch_waits_for_the_preferred_server_and_takes_it_among_equals() {
     let (mut it, first) = Switch::begin(3, 2, Term(5), Some(1), Vec::new(), None);
     assert_eq!(first.len(), 3);
-    let last = Mark::new(4, 9);
+    let last = LogPosition::new(4, 9);
     assert!(fence(&mut it, 0, last).is_empty());
     // Two of three answered first: the preferred one lost by that in one of 14 runs of a planned switch.
     assert!(fence(&mut it, 2, last).is_empty());
@@ -73,11 +73,11 @@
 #[test]
 fn a_switch_goes_on_without_the_preferred_server_and_takes_the_highest_log() {
     let (mut it, _) = Switch::begin(3, 2, Term(5), Some(1), Vec::new(), None);
-    fence(&mut it, 0, Mark::new(4, 8));
-    fence(&mut it, 2, Mark::new(4, 9));
+    fence(&mut it, 0, LogPosition::new(4, 8));
+    fence(&mut it, 2, LogPosition::new(4, 9));
     assert_eq!(it.hurry(), [Action::Promote { server: 2, term: Term(5) }]);
     assert!(it.hurry().is_empty(), "one promotion at most");
-    assert!(fence(&mut it, 1, Mark::new(4, 10)).is_empty());
+    assert!(fence(&mut it, 1, LogPosition::new(4, 10)).is_empty());
     assert_eq!(it.promoted(2, Term(5)).len(), 2);
     assert_eq!(it.state, SwitchState::Done);
 }
@@ -156,8 +156,8 @@
     for server in 0..2 {
         it.confirm(server, Term(1), 100);
     }
-    it.observe(Term(1), Mark::new(1, 5), 50);
-    it.observe(Term(1), Mark::new(1, 10), 100);
+    it.observe(Term(1), LogPosition::new(1, 5), 50);
+    it.observe(Term(1), LogPosition::new(1, 10), 100);
     assert_eq!(it.as_of(Term(1), applied), as_of);
 }
 
@@ -166,10 +166,10 @@
     let mut it = Freshness::new(3, 2);
     it.confirm(0, Term(1), 100);
     it.confirm(1, Term(1), 100);
-    it.observe(Term(1), Mark::new(1, 5), 100);
+    it.observe(Term(1), LogPosition::new(1, 5), 100);
     // The primary goes on alone: nobody else confirms its term.
     it.confirm(0, Term(1), 900);
-    it.observe(Term(1), Mark::new(1, 6), 900);
+    it.observe(Term(1), LogPosition::new(1, 6), 900);
     assert_eq!(it.as_of(Term(1), Lsn(5)), Some(100));
     assert_eq!(it.as_of(Term(1), Lsn(6)), Some(100));
     it.confirm(1, Term(2), 950);
@@ -197,7 +197,7 @@
 #[test]
 fn tokens_come_back_as_they_were() {
     let settings = vec![("application_name".into(), "depot.7 'x'".into())];
-    let it = Token { group: "parts".into(), mark: Mark::new(3, 77), settings };
+    let it = Token { group: "parts".into(), mark: LogPosition::new(3, 77), settings };
     assert_eq!(Token::parse(&it.render()), Ok(it));
     for bad in ["", "pt1", "pt2.70.1.1", "pt1.7.1.1", "pt1.70.x.1", "pt1.70.1.1.61", "pt1.é.1.1"] {
         assert!(Token::parse(bad).is_err(), "{bad}");
--- a/crates/core/tests/sightings.rs
+++ b/crates/core/tests/sightings.rs
@@ -6,7 +6,7 @@
         fresh::{self, Freshness},
         gate::Gate,
     },
-    pondtrack_proto::{Lsn, Mark, Term},
+    pondtrack_proto::{LogPosition, Lsn, Term},
     rand::{RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
 };
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy)]
 struct Account {
     server: usize,
-    at: Mark,
+    at: LogPosition,
     asked: Time,
 }
 
@@ -47,9 +47,9 @@
     }
 
     /// The end of a server's log.
-    fn log(&self, server: usize, now: Time) -> Mark {
+    fn log(&self, server: usize, now: Time) -> LogPosition {
         let lsn = if server == REPLICA { now - now % 7 } else { now };
-        Mark { term: self.term(now), lsn: Lsn(lsn) }
+        LogPosition { term: self.term(now), lsn: Lsn(lsn) }
     }
 
     /// The last position that had been acknowledged before a time.
--- a/crates/edge/src/contract.rs
+++ b/crates/edge/src/contract.rs
@@ -25,7 +25,7 @@
 
 use {
     crate::frame::{Frames, columns},
-    pondtrack_proto::{Lsn, Mark, Term},
+    pondtrack_proto::{LogPosition, Lsn, Term},
     std::net::SocketAddr,
     strum::{Display, EnumString, IntoStaticStr},
 };
@@ -59,7 +59,7 @@
     /// The highest term it knows.
     pub term: Term,
     /// The last entry of its log.
-    pub received: Mark,
+    pub received: LogPosition,
     /// The last entry its reads show.
     pub applied: Lsn,
     /// Entries it had to drop on following another log, in all.
@@ -78,7 +78,7 @@
         Some(Position {
             role: text(0)?.parse().ok()?,
             term: Term(number(1)?),
-            received: Mark::new(number(2)?, number(3)?),
+            received: LogPosition::new(number(2)?, number(3)?),
             applied: Lsn(number(4)?),
             dropped: number(5)?,
             heard_ms: number(6)?,
@@ -118,7 +118,7 @@
     /// The position once a mark is applied.
     Wait {
         /// The mark.
-        mark: Mark,
+        mark: LogPosition,
         /// The longest wait in milliseconds.
         ms: u32,
     },
@@ -165,7 +165,7 @@
                 applied: Lsn(number(2)?),
                 ms: ms(3)?,
             }),
-            "wait" => Some(Order::Wait { mark: Mark::new(number(0)?, number(1)?), ms: ms(2)? }),
+            "wait" => Some(Order::Wait { mark: LogPosition::new(number(0)?, number(1)?), ms: ms(2)? }),
             "fence" => Some(Order::Fence(Term(number(0)?))),
             "promote" => Some(Order::Promote(Term(number(0)?))),
             "follow" => Some(Order::Follow(Term(number(0)?), args.get(1)?.trim_matches('\'').parse().ok()?)),
--- a/crates/edge/tests/input.rs
+++ b/crates/edge/tests/input.rs
@@ -13,7 +13,7 @@
         frame::{self, Frames},
         link,
     },
-    pondtrack_proto::{Datagram, GroupSpec, Lsn, Mark, Term},
+    pondtrack_proto::{Datagram, GroupSpec, LogPosition, Lsn, Term},
     proptest::prelude::*,
 };
 
@@ -69,7 +69,7 @@
         let list = [
             Order::Position,
             Order::Watch { term: Term(a), received: Lsn(b), applied: Lsn(a), ms },
-            Order::Wait { mark: Mark::new(a, b), ms },
+            Order::Wait { mark: LogPosition::new(a, b), ms },
             Order::Fence(Term(a)),
             Order::Promote(Term(a)),
             Order::Follow(Term(a), ([127, 0, 0, 1], ms as u16).into()),
--- a/crates/engine/src/ask.rs
+++ b/crates/engine/src/ask.rs
@@ -5,11 +5,11 @@
         count::Count,
         group::{Group, sightings},
         instance::{Instance, micros},
-        message::{Ask, Told},
+        message::{Request, Response},
         model::{Order, Status},
         organisation::Owner,
         pool::{Denied, Want},
-        settings::{ASK_WAIT, ORDER_LIMIT, PRIMARY_PAUSE, RELAY_AFTER, RELAYS},
+        settings::{MAX_RELAYS, ORDER_TIMEOUT, PRIMARY_POLL_INTERVAL, RELAY_DELAY, STATUS_CONN_TIMEOUT},
         upstream::Upstream,
     },
     std::rc::Rc,
@@ -31,7 +31,7 @@
         let asked = give(&inst, &group, &it, &Order::Status).await;
         if asked.is_none() {
             // So that a server that can't be reached isn't asked without end.
-            sleep(PRIMARY_PAUSE).await;
+            sleep(PRIMARY_POLL_INTERVAL).await;
         }
     }
 }
@@ -48,7 +48,7 @@
     it.sent.set(None);
     let direct = give_direct(inst, group, it, order);
     tokio::pin!(direct);
-    if let Ok(answer) = timeout(RELAY_AFTER, &mut direct).await {
+    if let Ok(answer) = timeout(RELAY_DELAY, &mut direct).await {
         return match answer {
             Some(it) => Some(it),
             None if it.refused().is_some() => None,
@@ -60,7 +60,7 @@
         Some(status) = &mut direct => Some(status),
         Some(status) = give_through(inst, group, it, order) => {
             // A question that still waits here for a connection shows nothing.
-            if it.sent.get().is_some_and(|at| inst.now() - at >= micros(RELAY_AFTER)) {
+            if it.sent.get().is_some_and(|at| inst.now() - at >= micros(RELAY_DELAY)) {
                 it.lose("reached through other instances only");
             }
             Some(status)
@@ -72,17 +72,17 @@
 /// The same through another instance.
 async fn give_through(inst: &Rc<Instance>, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
     let began = inst.now();
-    for _ in 0..RELAYS {
+    for _ in 0..MAX_RELAYS {
         let Some(peer) = it.fit_peer(inst, &Owner::Shared) else { break };
         let sent = inst.now();
         it.asked.set(sent);
-        let ask = Ask::Order { server: it.entry().as_ref().into(), order: order.clone() };
-        match timeout(ORDER_LIMIT, peer.ask(inst, ask)).await {
-            Ok(Told::Status(Some(status))) => {
+        let ask = Request::Order { server: it.entry().as_ref().into(), order: order.clone() };
+        match timeout(ORDER_TIMEOUT, peer.ask(inst, ask)).await {
+            Ok(Response::Status(Some(status))) => {
                 group.saw(it, status, sent, inst.now());
                 return Some(status);
             }
-            Ok(Told::Gone) => {
+            Ok(Response::Gone) => {
                 it.refuse(inst.now());
                 return None;
             }
@@ -117,7 +117,7 @@
     it: &Upstream,
     order: &Order,
 ) -> Result<Status, Unanswered> {
-    let want = Want { priority: 0, until: Instant::now() + ASK_WAIT, values: None, owner: None };
+    let want = Want { priority: 0, until: Instant::now() + STATUS_CONN_TIMEOUT, values: None, owner: None };
     let server = it.entry();
     let mut lease = match it.pool.lend(inst, &server, want).await {
         Ok(lease) => lease,
@@ -130,12 +130,12 @@
     };
     let why = if lease.is_new() { Unanswered::Failed } else { Unanswered::Kept };
     let sent = inst.now();
-    inst.counters.one(Count::Orders);
-    let dialect = inst.edge.dialect.as_ref();
+    inst.counters.increment(Count::Orders);
+    let dialect = inst.adapters.protocol.as_ref();
     it.asked.set(sent);
     it.sent.set(Some(sent));
     let Some(conn) = lease.conn() else { return Err(Unanswered::Failed) };
-    let answer = timeout(ORDER_LIMIT, conn.order(dialect, order)).await;
+    let answer = timeout(ORDER_TIMEOUT, conn.order(dialect, order)).await;
     it.sent.set(None);
     let answer = match answer {
         Ok(Ok(it)) => it,
@@ -152,7 +152,7 @@
     lease.give_back();
     it.direct.set(true);
     it.answered(inst.now());
-    let status = dialect.status(&answer).ok_or(Unanswered::Failed)?;
+    let status = dialect.decode_status(&answer).ok_or(Unanswered::Failed)?;
     group.saw(it, status, sent, inst.now());
     Ok(status)
 }
--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -7,20 +7,20 @@
         dispatch::turn,
         instance::{Instance, Micros},
         link::Link,
-        message::{Ask, Run, Sent, ServerRun, Told},
+        message::{Command, Request, Response, RunRequest, ServerProcess},
         model::{Answer, Order, TxnState},
         organisation::Owner,
         pool::{Denied, Lease, Want},
         ports::{Forward, Text},
         progress::Progress,
         session::Prepared,
-        settings::{ANSWER_BACK, PREPARED_MOST},
+        settings::{MAX_PREPARED, RELAY_DEADLINE_MARGIN},
         turnstile::{Permit, Turn},
         upstream::Upstream,
     },
     bytes::BytesMut,
     pondtrack_core::{budget::Wait, turn::Rank},
-    pondtrack_proto::{Mark, Name},
+    pondtrack_proto::{LogPosition, Name},
     snafu::Snafu,
     std::{rc::Rc, time::Duration},
     tokio::time::{Instant, timeout, timeout_at},
@@ -53,7 +53,7 @@
     /// A caller's statement.
     Forward(Forward<'a>),
     /// An order, and the position that the server's log has to hold.
-    Order(&'a Order, Option<Mark>),
+    Order(&'a Order, Option<LogPosition>),
 }
 
 /// Why there is no answer.
@@ -85,15 +85,15 @@
     },
 }
 
-impl From<RunError> for Told {
-    fn from(it: RunError) -> Told {
+impl From<RunError> for Response {
+    fn from(it: RunError) -> Response {
         match it {
-            RunError::NotSent { reason } => Told::NotSent(reason),
-            RunError::Busy => Told::Busy,
-            RunError::Refused => Told::Refused,
-            RunError::Gone => Told::Gone,
-            RunError::Late => Told::Late,
-            RunError::Broken { reason } => Told::Broken(reason),
+            RunError::NotSent { reason } => Response::NotSent(reason),
+            RunError::Busy => Response::Busy,
+            RunError::Refused => Response::Refused,
+            RunError::Gone => Response::Gone,
+            RunError::Late => Response::Late,
+            RunError::Broken { reason } => Response::Broken(reason),
         }
     }
 }
@@ -161,7 +161,7 @@
     peer: Name,
     link: Rc<Link>,
     stream: u64,
-    server: ServerRun,
+    server: ServerProcess,
     owner: Owner,
     /// When a statement that waits there for a connection is to be given up.
     until: Instant,
@@ -174,7 +174,7 @@
 
 impl Relayed {
     /// A stream over a link; nothing is sent yet.
-    pub fn new(peer: Name, link: Rc<Link>, server: ServerRun, owner: Owner, until: Instant) -> Relayed {
+    pub fn new(peer: Name, link: Rc<Link>, server: ServerProcess, owner: Owner, until: Instant) -> Relayed {
         let stream = link.stream();
         Relayed { peer, link, stream, server, owner, until, pinned: false, queued: false, asked: false }
     }
@@ -190,7 +190,7 @@
 
     /// Asks the other instance. Where the caller leaves meanwhile, that one is told, and answers all the same: what it has
     /// sent is left to end.
-    async fn ask(&self, ask: Ask, progress: Option<&Progress>) -> Told {
+    async fn ask(&self, ask: Request, progress: Option<&Progress>) -> Response {
         let question = self.link.put(ask);
         let Some(progress) = progress else { return question.answer().await };
         progress.relay();
@@ -216,17 +216,17 @@
                 let text = match text {
                     Text::Plain(text) | Text::Execute { args: text, .. } => text.clone(),
                 };
-                Sent::Statement { id: id.clone(), text, after }
+                Command::Statement { id: id.clone(), text, after }
             }
-            What::Order(order, after) => Sent::Order { order: order.clone(), after },
+            What::Order(order, after) => Command::Order { order: order.clone(), after },
         };
-        let run = Run {
+        let run = RunRequest {
             stream: self.stream,
             pinned: self.pinned,
             server: self.server.clone(),
             rank: it.rank.map(|it| Rank { aim: it.aim.saturating_sub(inst.now()), ..it }),
             wait_ms: left(self.until),
-            left_ms: left(it.end - ANSWER_BACK),
+            left_ms: left(it.end - RELAY_DEADLINE_MARGIN),
             slow: it.slow,
             owner: self.owner.clone(),
             values: it.values.map(|it| it.to_vec()).unwrap_or_default(),
@@ -234,27 +234,27 @@
             what,
         };
         self.asked = true;
-        let told = self.ask(Ask::Run(Box::new(run)), it.progress).await;
+        let told = self.ask(Request::Run(Box::new(run)), it.progress).await;
         self.asked = false;
         match told {
-            Told::Answer { answer, queued } => {
+            Response::Answer { answer, queued } => {
                 self.queued = queued;
                 self.set_pinned(answer.txn != TxnState::Idle);
                 Ok(answer)
             }
-            Told::NotSent(reason) => Err(RunError::NotSent { reason }),
-            Told::Busy => Err(RunError::Busy),
-            Told::Refused => Err(RunError::Refused),
-            Told::Gone => Err(RunError::Gone),
-            Told::Late => Err(RunError::Late),
-            Told::Broken(reason) => Err(RunError::Broken { reason }),
-            Told::Status(_)
-            | Told::State(_)
-            | Told::Turn { .. }
-            | Told::Part(_)
-            | Told::Elsewhere(_)
-            | Told::Lent { .. }
-            | Told::Granted(_) => {
+            Response::NotSent(reason) => Err(RunError::NotSent { reason }),
+            Response::Busy => Err(RunError::Busy),
+            Response::Refused => Err(RunError::Refused),
+            Response::Gone => Err(RunError::Gone),
+            Response::Late => Err(RunError::Late),
+            Response::Broken(reason) => Err(RunError::Broken { reason }),
+            Response::Status(_)
+            | Response::State(_)
+            | Response::Permit { .. }
+            | Response::Chunk(_)
+            | Response::Elsewhere(_)
+            | Response::Lent { .. }
+            | Response::Granted(_) => {
                 Err(RunError::Broken { reason: "another answer than asked for".to_owned() })
             }
         }
@@ -386,11 +386,11 @@
     {
         return Err(RunError::NotSent { reason: "the connection is of no use".to_owned() });
     }
-    let dialect = inst.edge.dialect.as_ref();
+    let dialect = inst.adapters.protocol.as_ref();
     let mut out = BytesMut::new();
     match it.what {
-        What::Forward(forward) => dialect.forward(forward, &mut out),
-        What::Order(order, after) => dialect.order(order, after, &mut out),
+        What::Forward(forward) => dialect.encode_statement(forward, &mut out),
+        What::Order(order, after) => dialect.encode_order(order, after, &mut out),
     }
     let broken = |reason: &dyn ToString| RunError::Broken { reason: reason.to_string() };
     let conn = lease.conn().ok_or_else(|| broken(&"the connection was given back"))?;
@@ -405,7 +405,7 @@
     let known = conn.values.as_ref();
     // Values can only be taken away all at once.
     let extra = |old: &Values| old.iter().any(|it| values.binary_search_by(|new| new.0.cmp(&it.0)).is_err());
-    let full = conn.prepared.len() >= PREPARED_MOST && conn.txn == TxnState::Idle;
+    let full = conn.prepared.len() >= MAX_PREPARED && conn.txn == TxnState::Idle;
     let reset = full || known.is_none_or(extra);
     let has = |it: &(Name, Name)| !reset && known.is_some_and(|old| old.binary_search(it).is_ok());
     let mut orders = Vec::new();
@@ -425,7 +425,7 @@
     }
     let mut out = BytesMut::new();
     for it in &orders {
-        inst.edge.dialect.order(it, None, &mut out);
+        inst.adapters.protocol.encode_order(it, None, &mut out);
     }
     // Until all are answered its state isn't known.
     conn.values = None;
@@ -436,7 +436,7 @@
         return false;
     }
     for _ in &orders {
-        match conn.next(inst.edge.dialect.as_ref()).await {
+        match conn.next(inst.adapters.protocol.as_ref()).await {
             Ok(it) if it.is_done() => {}
             Ok(_) | Err(_) => return false,
         }
--- a/crates/engine/src/conn.rs
+++ b/crates/engine/src/conn.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        model::{Answer, Code, Order, Server, TxnState},
+        model::{Answer, ErrorCode, Order, Server, TxnState},
         organisation::Owner,
-        ports::{Dialect, WireError},
-        settings::OPEN_LIMIT,
+        ports::{WireError, WireProtocol},
+        settings::CONNECT_TIMEOUT,
     },
     bytes::BytesMut,
     pondtrack_proto::Name,
@@ -51,7 +51,7 @@
         /// The server.
         peer: SocketAddrV4,
         /// Why.
-        code: Code,
+        code: ErrorCode,
     },
     /// The connection broke; what was sent may have run.
     #[snafu(display("{peer}: exchange: {source}"))]
@@ -78,7 +78,7 @@
             ConnError::Connect { source, .. } => {
                 matches!(source.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset)
             }
-            ConnError::Refused { code, .. } => *code == Code::WrongServer,
+            ConnError::Refused { code, .. } => *code == ErrorCode::WrongServer,
             ConnError::Silent { .. } | ConnError::Broken { .. } | ConnError::Wire { .. } => false,
         }
     }
@@ -102,14 +102,14 @@
 
 impl Conn {
     /// Opens a connection; the server has to have the id that its entry names.
-    pub async fn open(dialect: &dyn Dialect, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
+    pub async fn open(dialect: &dyn WireProtocol, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
         let peer = server.addr;
-        timeout(OPEN_LIMIT, Conn::greet(dialect, server, owner))
+        timeout(CONNECT_TIMEOUT, Conn::greet(dialect, server, owner))
             .await
             .map_err(|_| ConnError::Silent { peer })?
     }
 
-    async fn greet(dialect: &dyn Dialect, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
+    async fn greet(dialect: &dyn WireProtocol, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
         let peer = server.addr;
         let stream = TcpStream::connect(SocketAddr::V4(peer)).await.context(ConnectSnafu { peer })?;
         stream.set_nodelay(true).context(ConnectSnafu { peer })?;
@@ -126,11 +126,11 @@
             txn: TxnState::Idle,
         };
         let mut out = BytesMut::new();
-        dialect.open(&server.group, &server.id, &it.owner, &mut out);
+        dialect.encode_open(&server.group, &server.id, &it.owner, &mut out);
         it.send(&out).await?;
         loop {
-            if let Some(answer) = dialect.opening(&mut it.buf).context(WireSnafu { peer })? {
-                return match answer.code() {
+            if let Some(answer) = dialect.decode_open(&mut it.buf).context(WireSnafu { peer })? {
+                return match answer.error_code() {
                     None => Ok(it),
                     Some(code) => Err(ConnError::Refused { peer, code }),
                 };
@@ -153,9 +153,9 @@
     }
 
     /// Waits for the next answer.
-    pub async fn next(&mut self, dialect: &dyn Dialect) -> Result<Answer, ConnError> {
+    pub async fn next(&mut self, dialect: &dyn WireProtocol) -> Result<Answer, ConnError> {
         loop {
-            let answer = dialect.answer(&mut self.buf).context(WireSnafu { peer: self.peer })?;
+            let answer = dialect.decode_answer(&mut self.buf).context(WireSnafu { peer: self.peer })?;
             if let Some(it) = answer {
                 self.txn = it.txn;
                 return Ok(it);
@@ -165,9 +165,9 @@
     }
 
     /// Gives an order.
-    pub async fn order(&mut self, dialect: &dyn Dialect, order: &Order) -> Result<Answer, ConnError> {
+    pub async fn order(&mut self, dialect: &dyn WireProtocol, order: &Order) -> Result<Answer, ConnError> {
         let mut out = BytesMut::new();
-        dialect.order(order, None, &mut out);
+        dialect.encode_order(order, None, &mut out);
         self.send(&out).await?;
         self.next(dialect).await
     }
--- a/crates/engine/src/count.rs
+++ b/crates/engine/src/count.rs
@@ -40,7 +40,8 @@
     /// Those of them that were told that there is no room in their time.
     TooLate,
     /// Operations refused until a moment that a limiter told before, without asking it again.
-    ToldBefore,
+    #[strum(serialize = "told_before")]
+    RefusedByHint,
     /// Tokens passed on, as whoever had claimed them was gone.
     PassedOn,
     /// Messages of other instances that lend their shares of limits.
@@ -48,9 +49,11 @@
     /// Limiters that couldn't be reached, left, or did not answer a loan in time.
     LimiterLost,
     /// Turns refused, as a server has too much to do to answer in time.
-    TurnsRefused,
+    #[strum(serialize = "turns_refused")]
+    PermitsRefused,
     /// Turns handed out to kinds of work that the order leaves out.
-    TurnsLifted,
+    #[strum(serialize = "turns_lifted")]
+    PermitsLifted,
     /// Callers refused for their key.
     Denied,
     /// Connections to servers opened.
@@ -83,15 +86,20 @@
     /// was lost before another replica had all.
     Losses,
     /// Statements refused as their group's state was not known by the end of their budget.
-    HeldEvidence,
+    #[strum(serialize = "held_evidence")]
+    NoEvidence,
     /// The same for a primary.
-    HeldPrimary,
+    #[strum(serialize = "held_primary")]
+    NoPrimary,
     /// The same for a turn at a server.
-    HeldTurn,
+    #[strum(serialize = "held_turn")]
+    NoPermit,
     /// The same for a connection.
-    HeldConnection,
+    #[strum(serialize = "held_connection")]
+    NoConnection,
     /// Callers that left while their statement waited; it did not run.
-    LeftWaiting,
+    #[strum(serialize = "left_waiting")]
+    CallersLeft,
     /// Questions of other instances that were cancelled before a server had anything of them.
     Cancelled,
     /// Log lines that were left out.
@@ -109,7 +117,7 @@
 
 impl Counters {
     /// Adds one to a counter.
-    pub fn one(&self, what: Count) {
+    pub fn increment(&self, what: Count) {
         self.add(what, 1);
     }
 
@@ -131,13 +139,13 @@
     }
 
     /// Records how long a statement took, in seconds.
-    pub fn statement_time(&self, took: Duration) {
+    pub fn record_statement(&self, took: Duration) {
         let histogram = || metrics::histogram!("pondtrack_engine_statement_seconds");
         self.statements.get_or_init(histogram).record(took);
     }
 
     /// Records how long a commit waited for a replica, in seconds.
-    pub fn gate_time(&self, took: Duration) {
+    pub fn record_replication_wait(&self, took: Duration) {
         self.gate.get_or_init(|| metrics::histogram!("pondtrack_engine_gate_wait_seconds")).record(took);
     }
 }
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -10,8 +10,8 @@
     crate::{
         count::Count,
         instance::{Instance, Micros, micros},
-        message::{Ask, Message, Told, TurnWish},
-        settings::ANSWER_BACK,
+        message::{Message, PermitRequest, Request, Response},
+        settings::RELAY_DEADLINE_MARGIN,
         turnstile::{Permit, Turn},
         upstream::Upstream,
     },
@@ -55,14 +55,14 @@
             }
         },
     };
-    inst.counters.add(Count::TurnsRefused, u64::from(matches!(turn, Turn::Refused)));
+    inst.counters.add(Count::PermitsRefused, u64::from(matches!(turn, Turn::Refused)));
     count_lifted(inst, up);
     turn
 }
 
 /// Counts turns that went to kinds of work by their minimum.
 pub fn count_lifted(inst: &Instance, up: &Upstream) {
-    inst.counters.add(Count::TurnsLifted, up.turns.take_lifted() + up.shared.take_lifted());
+    inst.counters.add(Count::PermitsLifted, up.turns.take_lifted() + up.shared.take_lifted());
 }
 
 fn dispatcher(inst: &Rc<Instance>, up: &Upstream) -> Dispatcher {
@@ -93,7 +93,7 @@
         let (inst, server) = (inst.clone(), server.clone());
         tokio::task::spawn_local(async move {
             if let Some(link) = peer.link(&inst).await {
-                link.tell(Message::Crowded { server });
+                link.tell(Message::Overloaded { server });
             }
         });
     }
@@ -129,12 +129,14 @@
     let link = peer.link(inst).await?;
     let wait_ms = until.saturating_duration_since(Instant::now()).as_millis() as u32;
     let rank = Rank { aim: rank.aim.saturating_sub(inst.now()), ..rank };
-    let ask = Ask::Turn(TurnWish { server: up.entry().id.clone(), rank, slow, wait_ms });
-    let told = timeout_at(until + ANSWER_BACK, link.ask(ask)).await;
+    let ask = Request::Permit(PermitRequest { server: up.entry().id.clone(), rank, slow, wait_ms });
+    let told = timeout_at(until + RELAY_DEADLINE_MARGIN, link.ask(ask)).await;
     let (turn, crowded) = match told {
-        Ok(Told::Turn { turn, crowded }) => (Turn::Granted(Permit::remote(link, turn)), crowded),
-        Ok(Told::Refused) => (Turn::Refused, true),
-        Ok(Told::Busy) => (Turn::Late, true),
+        Ok(Response::Permit { permit: turn, overloaded: crowded }) => {
+            (Turn::Granted(Permit::remote(link, turn)), crowded)
+        }
+        Ok(Response::Refused) => (Turn::Refused, true),
+        Ok(Response::Busy) => (Turn::Late, true),
         // The other one answers in time if it is there.
         Err(_) => {
             up.order_alone(inst.now());
--- a/crates/engine/src/spread.rs
+++ b/crates/engine/src/distribution.rs
@@ -6,12 +6,12 @@
 
 use {
     crate::{
-        document::members_digest,
         fetch::fetch,
         instance::{Instance, Micros, micros},
-        message::{Beat, Message},
+        message::{Heartbeat, Message},
         peer::Peer,
         ports::Collection,
+        update::members_digest,
     },
     pondtrack_core::place::{self, Candidate},
     pondtrack_proto::Name,
@@ -48,9 +48,9 @@
 
 /// How the configuration and the directory come here.
 #[derive(Default)]
-pub struct Spread {
+pub struct Distribution {
     /// Woken when there is something new to tell.
-    pub tell: Notify,
+    pub changed: Notify,
     /// When an instance that watches was last heard.
     heard: Cell<Micros>,
     /// When one of the own availability zone was last heard.
@@ -59,12 +59,12 @@
     watched: Cell<(bool, bool)>,
     fetching: Cell<bool>,
     /// What was told last while something was fetched, and by whom.
-    missed: RefCell<Option<(Rc<Peer>, Beat)>>,
+    missed: RefCell<Option<(Rc<Peer>, Heartbeat)>>,
     /// When it was last asked which instances are up.
     counted: Cell<Micros>,
 }
 
-impl Spread {
+impl Distribution {
     /// Whether this instance is one of those that watch the store for all.
     pub fn is_watcher(&self, inst: &Instance) -> bool {
         let Some(peers) = inst.peers() else { return true };
@@ -81,20 +81,20 @@
     pub fn must_watch(&self, inst: &Instance) -> bool {
         let silent = inst.now().saturating_sub(self.heard.get());
         let lost = inst.bounds.get().apply.mul_f64(LOST_SHARE);
-        !self.gathers(inst) && (silent >= micros(lost) || self.is_watcher(inst))
+        !self.is_bootstrapping(inst) && (silent >= micros(lost) || self.is_watcher(inst))
     }
 
     /// Whether all instances have only just started for the first time, and none knows yet how many they are: each would
     /// take itself for the one that watches, and for the one that may give orders.
-    pub fn gathers(&self, inst: &Instance) -> bool {
+    pub fn is_bootstrapping(&self, inst: &Instance) -> bool {
         inst.settings.first_start && inst.now() < micros(GATHER)
     }
 
     /// A call for a collection had, or had no, result.
-    pub fn watched(&self, what: Collection, ok: bool) {
+    pub fn record_call(&self, what: Collection, ok: bool) {
         let (desired, servers) = self.watched.get();
         self.watched.set(match what {
-            Collection::Desired => (ok, servers),
+            Collection::Config => (ok, servers),
             _ => (desired, ok),
         });
     }
@@ -107,29 +107,30 @@
 
     /// Keeps what was told while something is fetched: a fetch may take longer than the time between two beats. What an
     /// instance of the own zone tells goes before what others tell, unless that is newer.
-    fn look_later(&self, inst: &Instance, peer: Rc<Peer>, beat: Beat) {
+    fn look_later(&self, inst: &Instance, peer: Rc<Peer>, beat: Heartbeat) {
         let mut missed = self.missed.borrow_mut();
-        let rank = |peer: &Peer, beat: &Beat| (beat.version, beat.directory, peer.zone == inst.settings.zone);
+        let rank =
+            |peer: &Peer, beat: &Heartbeat| (beat.version, beat.directory, peer.zone == inst.settings.zone);
         if missed.as_ref().is_none_or(|old| rank(&old.0, &old.1) <= rank(&peer, &beat)) {
             *missed = Some((peer, beat));
         }
     }
 
-    fn newer_desired(&self, inst: &Instance, beat: &Beat) -> bool {
-        inst.desired().is_none_or(|it| it.version < beat.version)
+    fn newer_desired(&self, inst: &Instance, beat: &Heartbeat) -> bool {
+        inst.config().is_none_or(|it| it.version < beat.version)
     }
 
-    fn newer_directory(&self, inst: &Instance, beat: &Beat) -> bool {
+    fn newer_directory(&self, inst: &Instance, beat: &Heartbeat) -> bool {
         inst.revision(Collection::Servers).is_none_or(|it| it < beat.directory)
     }
 
-    fn tells_newer(&self, inst: &Instance, beat: &Beat) -> bool {
+    fn tells_newer(&self, inst: &Instance, beat: &Heartbeat) -> bool {
         self.newer_desired(inst, beat) || self.newer_directory(inst, beat)
     }
 
     /// Whether another instance that watches the store knows other instances than this one does. Two that watch
     /// may differ for a while, as they read the entries at different times.
-    fn wants_members(&self, inst: &Instance, beat: &Beat) -> bool {
+    fn wants_members(&self, inst: &Instance, beat: &Heartbeat) -> bool {
         let now = inst.now();
         let due = now.saturating_sub(self.counted.get()) >= micros(COUNT_PAUSE);
         let differs = || inst.members().is_some_and(|it| members_digest(&it) != beat.members);
@@ -140,14 +141,14 @@
         wants
     }
 
-    fn beat(&self, inst: &Instance) -> Option<Beat> {
-        let (desired, directory) = (inst.revision(Collection::Desired)?, inst.revision(Collection::Servers)?);
-        let version = inst.desired()?.version;
+    fn beat(&self, inst: &Instance) -> Option<Heartbeat> {
+        let (desired, directory) = (inst.revision(Collection::Config)?, inst.revision(Collection::Servers)?);
+        let version = inst.config()?.version;
         let watching = self.watched.get() == (true, true);
         let from = inst.settings.name.clone();
         let members = members_digest(&inst.members()?);
         let tells = self.is_watcher(inst) && inst.leaving().is_none();
-        tells.then_some(Beat { from, version, desired, directory, members, watching })
+        tells.then_some(Heartbeat { from, version, desired, directory, members, watching })
     }
 }
 
@@ -156,8 +157,8 @@
     loop {
         // New or not, something is told at the next beat.
         let beat = inst.bounds.get().apply.mul_f64(BEAT_SHARE);
-        let _ = timeout(beat, inst.spread.tell.notified()).await;
-        let (Some(beat), Some(peers)) = (inst.spread.beat(&inst), inst.peers()) else {
+        let _ = timeout(beat, inst.distribution.changed.notified()).await;
+        let (Some(beat), Some(peers)) = (inst.distribution.beat(&inst), inst.peers()) else {
             continue;
         };
         for peer in peers {
@@ -167,18 +168,18 @@
     }
 }
 
-async fn send(inst: Rc<Instance>, peer: Rc<Peer>, beat: Beat) {
+async fn send(inst: Rc<Instance>, peer: Rc<Peer>, beat: Heartbeat) {
     if !peer.is_usable(inst.now()) {
         return;
     }
     if let Some(link) = peer.link(&inst).await {
-        link.tell_again(Message::Beat(beat));
+        link.tell_again(Message::Heartbeat(beat));
     }
 }
 
 /// An instance that watches the store tells what it knows.
-pub async fn heard(inst: Rc<Instance>, beat: Beat) {
-    let spread = &inst.spread;
+pub async fn on_heartbeat(inst: Rc<Instance>, beat: Heartbeat) {
+    let spread = &inst.distribution;
     let now = inst.now();
     inst.hear_era(beat.desired.max(beat.directory));
     if beat.watching {
@@ -199,7 +200,7 @@
     let mut told = Some((peer, beat));
     while let Some((peer, beat)) = told {
         let wants = [
-            spread.newer_desired(&inst, &beat).then_some(Collection::Desired),
+            spread.newer_desired(&inst, &beat).then_some(Collection::Config),
             spread.newer_directory(&inst, &beat).then_some(Collection::Servers),
             spread.wants_members(&inst, &beat).then_some(Collection::Instances),
         ];
@@ -222,7 +223,7 @@
             if inst.is_ready() {
                 return;
             }
-            for what in [Collection::Desired, Collection::Servers] {
+            for what in [Collection::Config, Collection::Servers] {
                 fetch(&inst, peer, what).await;
             }
         }
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         count::Count,
-        document::{Document, DocumentError},
         instance::{Instance, micros},
-        message::{Ask, Fetch, Part, Told},
+        message::{Chunk, FetchRequest, Request, Response},
         peer::Peer,
         ports::Collection,
+        update::{Update, UpdateError},
     },
     snafu::Snafu,
     std::{rc::Rc, time::Duration},
@@ -33,7 +33,7 @@
     #[snafu(display("{told:?}"))]
     Refused {
         /// What it said.
-        told: Told,
+        told: Response,
     },
     /// It handed out something else than was asked for.
     #[snafu(display("not the part that was asked for"))]
@@ -48,7 +48,7 @@
     #[snafu(display("{source}"), context(false))]
     Unfit {
         /// Why not.
-        source: DocumentError,
+        source: UpdateError,
     },
 }
 
@@ -68,8 +68,8 @@
     let mut peer = source.clone();
     let mut whole = false;
     while inst.now().saturating_sub(begun) < give_up {
-        inst.counters.one(Count::Fetches);
-        let since = if whole { 0 } else { Document::known(inst, what) };
+        inst.counters.increment(Count::Fetches);
+        let since = if whole { 0 } else { Update::known(inst, what) };
         let step = fetch_from(inst, &peer, what, since).await;
         let took = (inst.now() - begun) / 1_000;
         match step {
@@ -85,13 +85,13 @@
             }
             Ok(Step::Elsewhere(None)) => {}
             Err(e) => {
-                inst.counters.one(Count::FetchesFailed);
+                inst.counters.increment(Count::FetchesFailed);
                 if inst.may_log() {
                     log::info!(peer = peer.name.as_str(), collection:% = what, since, took_ms = took; "not fetched: {e}");
                 }
                 match e {
-                    FetchError::Unfit { source: DocumentError::Moved } => {}
-                    FetchError::Unfit { source: DocumentError::Differs } if !whole => whole = true,
+                    FetchError::Unfit { source: UpdateError::Moved } => {}
+                    FetchError::Unfit { source: UpdateError::Differs } if !whole => whole = true,
                     _ if peer.name == source.name => return,
                     _ => {}
                 }
@@ -111,11 +111,11 @@
     let mut bytes = Vec::new();
     let mut next = None;
     loop {
-        let ask = Ask::Fetch(Fetch { what, from: inst.settings.name.clone(), since, next });
+        let ask = Request::Fetch(FetchRequest { what, from: inst.settings.name.clone(), since, next });
         let told = timeout(PART_LIMIT, peer.ask(inst, ask)).await.map_err(|_| FetchError::Late)?;
         let part = match told {
-            Told::Part(it) => it,
-            Told::Elsewhere(name) => return Ok(Step::Elsewhere(name.and_then(|it| inst.peer(&it)))),
+            Response::Chunk(it) => it,
+            Response::Elsewhere(name) => return Ok(Step::Elsewhere(name.and_then(|it| inst.peer(&it)))),
             told => return Err(FetchError::Refused { told }),
         };
         if !follows(&part, bytes.len(), next) {
@@ -127,14 +127,14 @@
         }
         next = Some((part.at, bytes.len() as u32));
     }
-    let document: Document =
+    let document: Update =
         postcard::from_bytes(&bytes).map_err(|source| FetchError::Unreadable { source })?;
     document.apply(inst)?;
     Ok(Step::Done)
 }
 
 /// Whether a part is the one after those that are here.
-fn follows(part: &Part, here: usize, next: Option<(u64, u32)>) -> bool {
+fn follows(part: &Chunk, here: usize, next: Option<(u64, u32)>) -> bool {
     let grows = !part.bytes.is_empty() && part.total <= DOCUMENT_BYTES;
     grows && part.offset as usize == here && next.is_none_or(|it| it.0 == part.at)
 }
--- a/crates/engine/src/group.rs
+++ b/crates/engine/src/group.rs
@@ -12,13 +12,13 @@
     crate::{
         instance::{Instance, Micros, micros},
         settings::{
-            ASK_OTHERS, EVIDENCE_PERCENT, GATE_PAUSE, GATE_PAUSE_MOST, GONE_AFTER, LAG_FACTOR, ORDER_LIMIT,
-            PRIMARY_PAUSE,
+            EVIDENCE_REFRESH_PERCENT, LAG_FACTOR, MAX_REPLICATION_POLL, MIN_REPLICATION_POLL, ORDER_TIMEOUT,
+            PRIMARY_POLL_INTERVAL, SERVER_EXPIRY, STATUS_HEDGE_DELAY,
         },
         upstream::Upstream,
     },
     pondtrack_core::{balance::Offer, claim::Claim, fresh::Freshness, gate::Gate, leader::Leader},
-    pondtrack_proto::{Lsn, Mark, Name, Term},
+    pondtrack_proto::{LogPosition, Lsn, Name, Term},
     std::{
         cell::{Cell, RefCell},
         rc::Rc,
@@ -89,7 +89,7 @@
     /// Whether it has been known for so long that a server whose entry had lapsed before is listed again, if it lives. One
     /// whose entry lapses later stays listed for as long.
     pub fn is_settled(&self, now: Micros) -> bool {
-        now.saturating_sub(self.known) >= micros(GONE_AFTER)
+        now.saturating_sub(self.known) >= micros(SERVER_EXPIRY)
     }
 
     /// The newest term that any server showed.
@@ -181,7 +181,12 @@
 
     /// The position that holds everything acknowledged longer ago than `age`, and since when it is known
     /// to. Evidence is renewed if it is getting old; none if that fails before the end.
-    pub async fn needed(&self, inst: &Instance, age: Duration, end: Instant) -> Option<(Micros, Mark)> {
+    pub async fn needed(
+        &self,
+        inst: &Instance,
+        age: Duration,
+        end: Instant,
+    ) -> Option<(Micros, LogPosition)> {
         let age = micros(age);
         loop {
             let changed = self.changed.notified();
@@ -195,13 +200,13 @@
                 return None;
             }
             // What is not answered is asked again by `renew`.
-            let _ = timeout_at(end.min(Instant::now() + ASK_OTHERS), changed).await;
+            let _ = timeout_at(end.min(Instant::now() + STATUS_HEDGE_DELAY), changed).await;
         }
     }
 
     /// Has evidence that is getting too old for `age`, or is not `enough`, renewed.
     fn renew(&self, inst: &Instance, now: Micros, age: Micros, enough: bool) {
-        let limit = now.saturating_sub(age * EVIDENCE_PERCENT / 100);
+        let limit = now.saturating_sub(age * EVIDENCE_REFRESH_PERCENT / 100);
         let (observed, confirmed) = {
             let it = self.fresh.borrow();
             (it.observed_at().unwrap_or_default(), it.confirmed_at().unwrap_or_default())
@@ -209,7 +214,7 @@
         match self.primary() {
             Some(it) if observed < limit || observed == 0 => it.ask_after(limit),
             Some(_) => {}
-            None => self.ask_all(now.saturating_sub(micros(PRIMARY_PAUSE))),
+            None => self.ask_all(now.saturating_sub(micros(PRIMARY_POLL_INTERVAL))),
         }
         // A confirmation counts for what was observed before it.
         if confirmed < limit || (!enough && confirmed <= observed) {
@@ -219,7 +224,7 @@
 
     /// Waits until a replica confirms that the primary of `term` had not been replaced at `since`.
     pub async fn confirm(&self, inst: &Instance, term: Term, since: Micros, end: Instant) -> bool {
-        let mut patience = ASK_OTHERS;
+        let mut patience = STATUS_HEDGE_DELAY;
         self.ask_replica(inst, since);
         loop {
             let changed = self.changed.notified();
@@ -234,7 +239,7 @@
             }
             if timeout(patience, changed).await.is_err() {
                 self.ask_all(inst.now().saturating_sub(micros(patience)).max(since));
-                patience = (patience * 2).min(ORDER_LIMIT);
+                patience = (patience * 2).min(ORDER_TIMEOUT);
             }
         }
     }
@@ -242,14 +247,14 @@
     /// Waits until a replica has received a commit of `term`. False when the term is over, or at the end.
     pub async fn replicated(&self, inst: &Instance, term: Term, at: Lsn, end: Instant) -> bool {
         let began = Instant::now();
-        let mut pause = GATE_PAUSE;
+        let mut pause = MIN_REPLICATION_POLL;
         let mut sent = inst.now();
         loop {
-            match began.elapsed() < ASK_OTHERS {
+            match began.elapsed() < STATUS_HEDGE_DELAY {
                 true => self.ask_replica(inst, sent),
                 false => self.ask_all(sent),
             }
-            let answered = timeout(ASK_OTHERS, self.changed.notified()).await.is_ok();
+            let answered = timeout(STATUS_HEDGE_DELAY, self.changed.notified()).await.is_ok();
             let (known, durable) = {
                 let it = self.gate.borrow();
                 (it.term(), it.durable())
@@ -261,14 +266,14 @@
                 _ => {}
             }
             sent = inst.now().saturating_sub(micros(pause));
-            pause = (pause * 2).min(GATE_PAUSE_MOST);
+            pause = (pause * 2).min(MAX_REPLICATION_POLL);
         }
     }
 
     /// Waits for a primary that answers.
     pub async fn wait_primary(&self, inst: &Instance, end: Instant) -> Option<Rc<Upstream>> {
         if self.primary().is_none() {
-            self.ask_all(inst.now().saturating_sub(micros(PRIMARY_PAUSE)));
+            self.ask_all(inst.now().saturating_sub(micros(PRIMARY_POLL_INTERVAL)));
         }
         loop {
             let changed = self.changed.notified();
@@ -279,8 +284,8 @@
             if Instant::now() >= end {
                 return None;
             }
-            if timeout_at(end.min(Instant::now() + PRIMARY_PAUSE), changed).await.is_err() {
-                self.ask_all(inst.now().saturating_sub(micros(PRIMARY_PAUSE)));
+            if timeout_at(end.min(Instant::now() + PRIMARY_POLL_INTERVAL), changed).await.is_err() {
+                self.ask_all(inst.now().saturating_sub(micros(PRIMARY_POLL_INTERVAL)));
             }
         }
     }
--- a/crates/engine/src/group/evidence.rs
+++ b/crates/engine/src/group/evidence.rs
@@ -5,14 +5,14 @@
     crate::{
         instance::{Micros, micros},
         model::{Role, Status},
-        settings::CHANGE_MOST,
+        settings::MAX_FAILOVER_TIME,
         upstream::Upstream,
     },
     pondtrack_core::{
         claim::Verdict,
         recovery::{Recovery, Witness},
     },
-    pondtrack_proto::{Mark, Name, Term},
+    pondtrack_proto::{LogPosition, Name, Term},
     std::rc::Rc,
 };
 
@@ -104,7 +104,7 @@
         let (group, term) = (self.name.as_str(), status.term.0);
         log::warn!(group, server = id.as_str(), term, position = status.received.lsn.0; "has lost its log");
         self.forget(it, now);
-        it.recovery.set(Some(Recovery::new(now, micros(CHANGE_MOST))));
+        it.recovery.set(Some(Recovery::new(now, micros(MAX_FAILOVER_TIME))));
         it.returned.set(now);
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// The primary showed a position after a statement sent at `sent`.
-    pub fn moved(&self, it: &Upstream, at: Mark, sent: Micros) {
+    pub fn moved(&self, it: &Upstream, at: LogPosition, sent: Micros) {
         if self.primary.get() == Some(it.index) {
             self.fresh.borrow_mut().observe(self.term.get(), at, sent);
         }
--- a/crates/engine/src/group/listing.rs
+++ b/crates/engine/src/group/listing.rs
@@ -7,7 +7,7 @@
         count::Count,
         instance::{Instance, Micros, micros},
         model::{Role, Server},
-        settings::CHANGE_MOST,
+        settings::MAX_FAILOVER_TIME,
         upstream::Upstream,
     },
     pondtrack_core::recovery::Recovery,
@@ -49,14 +49,14 @@
         let now = inst.now();
         let (id, run, before) = (server.id.as_str(), server.incarnation, old.entry().incarnation);
         log::info!(group = self.name.as_str(), server = id, run:% = run, before:% = before; "started again");
-        inst.counters.one(Count::Restarts);
+        inst.counters.increment(Count::Restarts);
         old.superseded.set(true);
         old.gone.set(true);
         old.pool.trim(Instant::now(), true);
         self.forget(old, now);
         // Its task ends.
         old.ask();
-        self.add(inst, server, Some(Recovery::new(now, micros(CHANGE_MOST))));
+        self.add(inst, server, Some(Recovery::new(now, micros(MAX_FAILOVER_TIME))));
         self.changed.notify_waiters();
     }
 
--- a/crates/engine/src/group/sightings.rs
+++ b/crates/engine/src/group/sightings.rs
@@ -9,10 +9,10 @@
     crate::{
         count::Count,
         instance::{Instance, Micros},
-        message::{Ask, Sighting, Told, Wanted},
+        message::{Request, Response, StatusQuery, StatusReport},
         organisation::Owner,
         peer::Peer,
-        settings::{ASK_OTHERS, ASK_WAIT, ORDER_LIMIT, RELAY_AFTER, RELAYS},
+        settings::{MAX_RELAYS, ORDER_TIMEOUT, RELAY_DELAY, STATUS_CONN_TIMEOUT, STATUS_HEDGE_DELAY},
         upstream::Upstream,
     },
     futures::future::join_all,
@@ -53,11 +53,11 @@
 
 /// What is known here of a group's servers. Those that are `wanted` and reached from here are asked anew first, where what is
 /// known is older; all who ask at the same time share these questions.
-pub async fn tell(inst: &Rc<Instance>, group: &str, wanted: &[Wanted]) -> Vec<Sighting> {
+pub async fn tell(inst: &Rc<Instance>, group: &str, wanted: &[StatusQuery]) -> Vec<StatusReport> {
     let came = inst.now();
     let Some(group) = inst.group(group) else { return Vec::new() };
     let servers = group.servers();
-    let find = |it: &Wanted| {
+    let find = |it: &StatusQuery| {
         let up = servers.iter().find(|up| it.server == up.entry().as_ref().into())?;
         inst.place(up);
         up.is_reachable().then(|| (up.clone(), came.saturating_sub(it.age)))
@@ -66,7 +66,7 @@
     for (up, since) in wants.iter().filter(|it| !is_met(it)) {
         up.ask_after(*since);
     }
-    let end = Instant::now() + ASK_WAIT;
+    let end = Instant::now() + STATUS_CONN_TIMEOUT;
     loop {
         let changed = group.changed.notified();
         let settled = |it: &Want| {
@@ -78,7 +78,7 @@
     }
     let sighting = |up: &Rc<Upstream>| {
         let (sent, status) = up.status()?;
-        Some(Sighting { server: up.entry().as_ref().into(), status, age: fresh::age(came, sent) })
+        Some(StatusReport { server: up.entry().as_ref().into(), status, age: fresh::age(came, sent) })
     };
     servers.iter().filter_map(sighting).collect()
 }
@@ -138,7 +138,7 @@
 
 impl Group {
     /// Takes in what another instance knows, which was asked at `sent`.
-    pub fn hear(&self, told: &[Sighting], sent: Micros, now: Micros) {
+    pub fn hear(&self, told: &[StatusReport], sent: Micros, now: Micros) {
         for it in told {
             let Some(asked) = fresh::asked(sent, it.age) else { continue };
             let known = self.present(&it.server.id).filter(|up| !up.is_gone());
@@ -172,7 +172,7 @@
         }
         inquiry.begun.set(inquiry.begun.get() + 1);
         // Beyond that time the servers are asked.
-        timeout(RELAY_AFTER, round(&inst, &group, &wants)).await.ok();
+        timeout(RELAY_DELAY, round(&inst, &group, &wants)).await.ok();
         inquiry.ended.set(inquiry.begun.get());
         inquiry.news.notify_waiters();
     }
@@ -182,7 +182,7 @@
 async fn round(inst: &Rc<Instance>, group: &Rc<Group>, wants: &[Want]) {
     let open = Rc::new(Cell::new(0));
     let mut asked: Vec<Name> = Vec::new();
-    for n in 0..=RELAYS {
+    for n in 0..=MAX_RELAYS {
         // Who gives orders asks the servers themselves.
         if inst.token().is_some() {
             break;
@@ -208,12 +208,12 @@
                 asker.inquiry.news.notify_waiters();
             });
         }
-        let pause = if n == 0 { SECOND_AFTER } else { ASK_OTHERS };
+        let pause = if n == 0 { SECOND_AFTER } else { STATUS_HEDGE_DELAY };
         if await_news(group, wants, &open, Instant::now() + pause).await {
             return;
         }
     }
-    while open.get() > 0 && !await_news(group, wants, &open, Instant::now() + ORDER_LIMIT).await {}
+    while open.get() > 0 && !await_news(group, wants, &open, Instant::now() + ORDER_TIMEOUT).await {}
 }
 
 /// Whom to ask next, and for what: one instance for all, as it knows the rest as well; while nobody is known to lead, one for
@@ -259,14 +259,14 @@
     let sent = inst.now();
     let wanted = |(up, since): &Want| {
         up.asked.set(sent);
-        Wanted { server: up.entry().as_ref().into(), age: sent.saturating_sub(*since) }
+        StatusQuery { server: up.entry().as_ref().into(), age: sent.saturating_sub(*since) }
     };
-    let ask = Ask::State { group: group.name.clone(), wanted: wants.iter().map(wanted).collect() };
-    inst.counters.one(Count::Inquiries);
-    let told = timeout(ORDER_LIMIT, peer.ask(&inst, ask)).await;
+    let ask = Request::State { group: group.name.clone(), wanted: wants.iter().map(wanted).collect() };
+    inst.counters.increment(Count::Inquiries);
+    let told = timeout(ORDER_TIMEOUT, peer.ask(&inst, ask)).await;
     let now = inst.now();
-    let heard = matches!(told, Ok(Told::State(_)));
-    if let Ok(Told::State(told)) = told {
+    let heard = matches!(told, Ok(Response::State(_)));
+    if let Ok(Response::State(told)) = told {
         group.hear(&told, sent, now);
     }
     if !heard || (!wants.is_empty() && !is_met(&first)) {
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -3,19 +3,19 @@
 use {
     crate::{
         count::{Count, Counters},
-        document::History,
+        distribution::Distribution,
         group::Group,
-        handout::Handout,
         leaders::Leaders,
         lease::Tenure,
         limit::Limit,
         message::Member,
-        model::{Desired, Server},
+        model::{Config, Server},
         peer::Peer,
-        ports::{Collection, Edge},
-        settings::{Bounds, MOST_TENTHS, SHARED_TENTHS, SUBSTITUTE_CONNS, Settings},
-        spread::Spread,
+        ports::{Adapters, Collection},
+        settings::{Bounds, FALLBACK_CONNS, MAX_CONN_TENTHS, SHARED_CONN_TENTHS, Settings},
         unreadable::Unreadable,
+        update::History,
+        upload::Uploads,
         upstream::Upstream,
     },
     pondtrack_core::{
@@ -94,14 +94,14 @@
     /// Times that the platform promises and expects.
     pub bounds: Cell<Bounds>,
     /// Wire, store and orders.
-    pub edge: Edge,
+    pub adapters: Adapters,
     /// Counters.
     pub counters: Counters,
     /// Woken when this instance begins to leave.
     pub leave: Notify,
     /// Sessions that are open.
     pub sessions: Cell<usize>,
-    desired: RefCell<Option<Rc<Desired>>>,
+    desired: RefCell<Option<Rc<Config>>>,
     groups: RefCell<Vec<Rc<Group>>>,
     /// Other live instances, sorted by name; none until they were counted.
     peers: RefCell<Option<Vec<Rc<Peer>>>>,
@@ -118,11 +118,11 @@
     /// The latest era of the store that other instances told.
     told_era: Cell<Option<u64>>,
     /// How the configuration and the directory come here.
-    pub spread: Spread,
+    pub distribution: Distribution,
     /// Which items of them changed when.
     pub history: History,
     /// What is being handed to other instances.
-    pub handout: Handout,
+    pub uploads: Uploads,
     /// When the configuration was last known to be the newest one.
     confirmed: Cell<Micros>,
     leaving: Cell<Option<Instant>>,
@@ -142,12 +142,12 @@
 
 impl Instance {
     /// An instance that knows nothing yet.
-    pub fn new(settings: Settings, bounds: Bounds, edge: Edge) -> Rc<Instance> {
+    pub fn new(settings: Settings, bounds: Bounds, adapters: Adapters) -> Rc<Instance> {
         let clock = Clock(Instant::now());
         Rc::new(Instance {
             settings,
             bounds: Cell::new(bounds),
-            edge,
+            adapters,
             counters: Counters::default(),
             leave: Notify::new(),
             sessions: Cell::default(),
@@ -160,9 +160,9 @@
             unreadable: RefCell::default(),
             revisions: Cell::default(),
             told_era: Cell::default(),
-            spread: Spread::default(),
+            distribution: Distribution::default(),
             history: History::default(),
-            handout: Handout::default(),
+            uploads: Uploads::default(),
             confirmed: Cell::default(),
             leaving: Cell::default(),
             clock,
@@ -203,7 +203,7 @@
             return true;
         }
         if n >= LINES {
-            self.counters.one(Count::LogsDropped);
+            self.counters.increment(Count::LogsDropped);
             return false;
         }
         self.lines.set((since, n + 1));
@@ -221,12 +221,12 @@
     }
 
     /// The configuration in force.
-    pub fn desired(&self) -> Option<Rc<Desired>> {
+    pub fn config(&self) -> Option<Rc<Config>> {
         self.desired.borrow().clone()
     }
 
     /// The configuration in force, or a later one, was the newest at this time.
-    pub fn confirm_desired(&self, at: Micros) {
+    pub fn confirm_config(&self, at: Micros) {
         self.confirmed.set(self.confirmed.get().max(at));
     }
 
@@ -243,14 +243,14 @@
     }
 
     /// Takes a configuration in if it is newer.
-    pub fn adopt(&self, it: Desired, revision: Revision) {
-        let known = self.desired();
+    pub fn adopt(&self, it: Config, revision: Revision) {
+        let known = self.config();
         let old = known.as_ref().map_or(0, |it| it.version);
         if it.version <= old {
             return;
         }
-        self.history.note_desired(known.as_deref(), &it);
-        self.set_revision(Collection::Desired, revision);
+        self.history.record_config(known.as_deref(), &it);
+        self.set_revision(Collection::Config, revision);
         log::info!(version = it.version, old, routes = it.routes.len(); "configuration in force");
         *self.desired.borrow_mut() = Some(Rc::new(it));
         self.share_out();
@@ -270,7 +270,7 @@
 
     /// Whether the configuration names a group. An entry of another one names no server that anybody uses.
     pub fn is_configured(&self, group: &str) -> bool {
-        let named = |it: &Desired| it.groups.binary_search_by(|it| it.name.as_str().cmp(group)).is_ok();
+        let named = |it: &Config| it.groups.binary_search_by(|it| it.name.as_str().cmp(group)).is_ok();
         self.desired.borrow().as_ref().is_some_and(|it| named(it))
     }
 
@@ -293,7 +293,7 @@
     pub fn set_directory(self: &Rc<Self>, servers: Vec<Server>, revision: Revision) {
         self.set_revision(Collection::Servers, revision);
         let old = self.directory.replace(Some(servers.clone())).unwrap_or_default();
-        self.history.note_directory(&old, &servers, revision.order());
+        self.history.record_directory(&old, &servers, revision.as_u64());
         let now = self.now();
         for it in &servers {
             let before = old.binary_search_by(|old| old.id.cmp(&it.id)).ok().map(|at| &old[at]);
@@ -324,15 +324,15 @@
 
     /// An object of the store can't be read: counted each time, told once.
     pub fn note_unreadable(&self, what: Collection, name: &Name, why: &str) {
-        self.counters.one(Count::Unreadable);
-        if self.unreadable.borrow_mut().note(what, name) {
+        self.counters.increment(Count::Unreadable);
+        if self.unreadable.borrow_mut().insert(what, name) {
             log::error!(collection:% = what, object = name.as_str(); "unreadable: {why}");
         }
     }
 
     /// How often the store has come back from an older copy, as far as is known here.
     pub fn era(&self) -> Option<u64> {
-        self.edge.store.era().max(self.told_era.get())
+        self.adapters.store.era().max(self.told_era.get())
     }
 
     /// Another instance has told a revision of the store.
@@ -349,7 +349,7 @@
     /// The store's revision at which a collection was last known to have changed.
     pub fn revision(&self, what: Collection) -> Option<Revision> {
         match what {
-            Collection::Desired => self.revisions.get().0,
+            Collection::Config => self.revisions.get().0,
             _ => self.revisions.get().1,
         }
     }
@@ -358,10 +358,10 @@
     pub fn set_revision(&self, what: Collection, revision: Revision) {
         let (desired, servers) = self.revisions.get();
         self.revisions.set(match what {
-            Collection::Desired => (Some(revision), servers),
+            Collection::Config => (Some(revision), servers),
             _ => (desired, Some(revision)),
         });
-        self.spread.tell.notify_one();
+        self.distribution.changed.notify_one();
     }
 
     /// All other live instances.
@@ -453,7 +453,7 @@
         if up.placement.replace(self.placement.get()) == self.placement.get() {
             return;
         }
-        let Some(desired) = self.desired() else { return };
+        let Some(desired) = self.config() else { return };
         let group = up.entry().group.clone();
         let conns = desired.groups.iter().find(|it| it.name == group).map_or(0, |it| it.conns);
         match &*self.peers.borrow() {
@@ -470,8 +470,8 @@
         up.set_dispatcher(ranked.first().filter(|it| **it != self.settings.name).cloned());
         let n = place::spread(conns, peers.len() + 1);
         up.shared.set_most(conns);
-        let share = (conns * SHARED_TENTHS / 10 / n).max(1);
-        let most = (conns * MOST_TENTHS / 10 / n).max(share);
+        let share = (conns * SHARED_CONN_TENTHS / 10 / n).max(1);
+        let most = (conns * MAX_CONN_TENTHS / 10 / n).max(share);
         if n > peers.len() {
             // Each its own home; others are only gone through in need, each by another.
             let subject = format!("{} {}", entry.id, self.settings.name);
@@ -483,7 +483,7 @@
         }
         let mine = ranked.iter().position(|it| *it == self.settings.name).is_some_and(|at| at < n);
         // One that is no home may still be asked by another that can't reach any.
-        let (share, most) = if mine { (share, most) } else { (0, SUBSTITUTE_CONNS) };
+        let (share, most) = if mine { (share, most) } else { (0, FALLBACK_CONNS) };
         up.pool.set_share(share, most);
         // Homes share the work of those that are none.
         ranked[..n].rotate_left(place::weight(&entry.id, &self.settings.name) as usize % n);
--- a/crates/engine/src/leaders.rs
+++ b/crates/engine/src/leaders.rs
@@ -87,7 +87,7 @@
                 None => it.read(&inst, token).await,
             };
             if let Err(e) = called {
-                inst.counters.one(Count::StoreFailures);
+                inst.counters.increment(Count::StoreFailures);
                 log::info!(step = "leaders"; "who led isn't recorded yet: {e}");
                 it.pause.set(inst.now() + micros(PAUSE));
             }
@@ -104,8 +104,8 @@
     }
 
     async fn read(&self, inst: &Instance, token: u64) -> Result<(), StoreError> {
-        inst.counters.one(Count::StoreCalls);
-        let all = inst.edge.store.list(Collection::Leaders, false).await?;
+        inst.counters.increment(Count::StoreCalls);
+        let all = inst.adapters.store.list(Collection::Leaders, false).await?;
         let mut known: Vec<Known> = all.items.into_iter().filter_map(decode).collect();
         known.sort_by(|a, b| a.group.cmp(&b.group));
         self.read.replace(Some(Read { token, known }));
@@ -136,10 +136,10 @@
     }
 
     async fn write(&self, inst: &Instance, due: Due) -> Result<(), StoreError> {
-        inst.counters.one(Count::StoreCalls);
+        inst.counters.increment(Count::StoreCalls);
         let Due { group, revision, leader } = due;
         let record = Record::Leader(leader.clone());
-        let put = inst.edge.store.put(Collection::Leaders, group.clone(), record, revision).await;
+        let put = inst.adapters.store.put(Collection::Leaders, group.clone(), record, revision).await;
         let found = match put {
             Ok(revision) => Some(Known { group, revision, leader }),
             // By another holder, or by an earlier call whose answer was lost.
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -70,7 +70,7 @@
 /// Whether an instance may come to hold the right: in a large fleet those who watch the store for all are enough to find it
 /// free.
 pub fn is_candidate(inst: &Instance) -> bool {
-    is_one_of_few(inst) || inst.spread.must_watch(inst)
+    is_one_of_few(inst) || inst.distribution.must_watch(inst)
 }
 
 fn is_one_of_few(inst: &Instance) -> bool {
@@ -86,8 +86,8 @@
             return if self.inst.token().is_none() { LOOK } else { RENEW };
         }
         let pause = match () {
-            () if self.inst.spread.gathers(&self.inst) => return RENEW,
-            () if is_one_of_few(&self.inst) || self.inst.spread.is_watcher(&self.inst) => LOOK,
+            () if self.inst.distribution.is_bootstrapping(&self.inst) => return RENEW,
+            () if is_one_of_few(&self.inst) || self.inst.distribution.is_watcher(&self.inst) => LOOK,
             () if is_candidate(&self.inst) => LONG_LOOK,
             () => return LOOK,
         };
@@ -108,7 +108,7 @@
         let had = self.lease.held().is_some();
         if self.lease.note_era(era, now) {
             self.returned = Some(now);
-            self.inst.counters.one(Count::StoreReturns);
+            self.inst.counters.increment(Count::StoreReturns);
             log::warn!(era, had; "the store came back from an older copy: what it granted before is over");
         }
         self.show();
@@ -121,11 +121,11 @@
 
     async fn look(&mut self) {
         let sent = self.inst.now();
-        self.inst.counters.one(Count::StoreCalls);
+        self.inst.counters.increment(Count::StoreCalls);
         let returned = self.returned.is_some_and(|at| sent - at < STALE_AGE.as_micros() as Micros);
         // An old answer would hide for seconds that the holder is lost, just when it is missed.
         let stale = !self.inst.lacks_primary() && !returned;
-        match self.inst.edge.store.list(Collection::Leases, stale).await {
+        match self.inst.adapters.store.list(Collection::Leases, stale).await {
             Ok(it) => {
                 self.note_era();
                 let found = it.items.into_iter().find(|it| it.name == NAME);
@@ -158,7 +158,7 @@
             }
             Err(StoreError::Missing) => self.lease.missed(sent, now),
             Err(e) => {
-                self.inst.counters.one(Count::StoreFailures);
+                self.inst.counters.increment(Count::StoreFailures);
                 if !std::mem::replace(&mut self.failing, true) {
                     log::info!(token, step = "lease"; "the right to promote isn't renewed: {e}");
                 }
@@ -172,8 +172,8 @@
     }
 
     async fn put(&self, record: LeaseRecord, revision: Option<Revision>) -> Result<Revision, StoreError> {
-        self.inst.counters.one(Count::StoreCalls);
-        let (store, name) = (&self.inst.edge.store, Name::from(NAME));
+        self.inst.counters.increment(Count::StoreCalls);
+        let (store, name) = (&self.inst.adapters.store, Name::from(NAME));
         store.put(Collection::Leases, name, Record::Lease(record), revision).await
     }
 
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -12,9 +12,9 @@
 //! | [`ports`] | what an edge brings |
 //! | [`settings`] | timeouts, limits and weights |
 //! | [`instance`] | what the parts of an instance share |
-//! | [`feed`] | the configuration and the directory, kept up to date |
-//! | [`spread`] | the same for instances that don't watch the store |
-//! | [`document`], [`handout`], [`fetch`] | what instances hand each other of them |
+//! | [`watcher`] | the configuration and the directory, kept up to date |
+//! | [`distribution`] | the same for instances that don't watch the store |
+//! | [`update`], [`upload`], [`fetch`] | what instances hand each other of them |
 //! | [`group`], [`upstream`] | a group and the evidence about it, its servers |
 //! | [`ask`] | questions and orders to servers |
 //! | [`conn`], [`pool`], [`turnstile`] | connections to servers, and turns at them |
@@ -34,11 +34,9 @@
 pub mod conn;
 pub mod count;
 pub mod dispatch;
-pub mod document;
-pub mod feed;
+pub mod distribution;
 pub mod fetch;
 pub mod group;
-pub mod handout;
 pub mod instance;
 pub mod leaders;
 pub mod lease;
@@ -56,11 +54,13 @@
 pub mod report;
 pub mod session;
 pub mod settings;
-pub mod spread;
 pub mod statement;
 pub mod takeover;
 pub mod turnstile;
 pub mod txn;
 pub mod unreadable;
+pub mod update;
+pub mod upload;
 pub mod upstream;
+pub mod watcher;
 pub mod write;
--- a/crates/engine/src/limit.rs
+++ b/crates/engine/src/limit.rs
@@ -8,8 +8,8 @@
     crate::{
         count::Count,
         instance::{Instance, Micros, micros},
-        message::{Claim, Told},
-        model::Desired,
+        message::{Claim, Response},
+        model::Config,
         organisation::Owner,
         statement::Work,
     },
@@ -139,7 +139,7 @@
         let Some(limits) = limits(inst, organisation) else { return Ok(()) };
         let urgency = self.urgency(work);
         if let Some(told) = self.refusals.borrow_mut().known(organisation, urgency, inst.now()) {
-            inst.counters.one(Count::ToldBefore);
+            inst.counters.increment(Count::RefusedByHint);
             return Err(told);
         }
         let end = (inst.now() + micros(START_WAIT)).min(micros(START));
@@ -164,7 +164,7 @@
 
     /// How urgent an operation is; none where all routes are as urgent.
     fn urgency(&self, work: &Work) -> Option<Urgency> {
-        let desired = work.inst.desired()?;
+        let desired = work.inst.config()?;
         let mixed = match self.mixed.get() {
             Some((version, it)) if version == desired.version => it,
             _ => {
@@ -197,7 +197,7 @@
     }
 
     /// Answers another instance that has operations to run.
-    pub fn claimed(&self, inst: &Instance, claims: &[Claim]) -> Told {
+    pub fn claimed(&self, inst: &Instance, claims: &[Claim]) -> Response {
         let now = inst.now();
         let mut limiter = self.limiter.borrow_mut();
         let grant = |it: &Claim| match limits(inst, &it.organisation) {
@@ -205,7 +205,7 @@
             // Which organisations there are may be known here only later.
             None => Grant::Refused(Places::at(0)),
         };
-        Told::Granted(claims.iter().map(grant).collect())
+        Response::Granted(claims.iter().map(grant).collect())
     }
 }
 
@@ -217,23 +217,23 @@
 
 /// What limits an organisation; none where nothing does.
 fn limits(inst: &Instance, organisation: &Name) -> Option<Limits> {
-    let desired = inst.desired()?;
-    let quota = desired.organisations.as_ref()?.find(organisation)?.quota?;
+    let desired = inst.config()?;
+    let quota = desired.organisations.as_ref()?.get(organisation)?.quota?;
     Some(quota.limits(f64::from(inst.bounds.get().quota_margin) * MARGIN_SHARE))
 }
 
 /// Whether some routes are more urgent than others.
-fn is_mixed(desired: &Desired) -> bool {
+fn is_mixed(desired: &Config) -> bool {
     desired.routes.windows(2).any(|it| it[0].priority != it[1].priority)
 }
 
 /// Counts a refusal, by its cause.
 fn count(inst: &Instance, places: Places, told: RetryAfter) {
-    inst.counters.one(Count::OverLimit);
+    inst.counters.increment(Count::OverLimit);
     if places.reserved {
-        inst.counters.one(Count::Reserved);
+        inst.counters.increment(Count::Reserved);
     }
     if matches!(told, RetryAfter::TooLate { .. }) {
-        inst.counters.one(Count::TooLate);
+        inst.counters.increment(Count::TooLate);
     }
 }
--- a/crates/engine/src/limit/claims.rs
+++ b/crates/engine/src/limit/claims.rs
@@ -5,7 +5,7 @@
     crate::{
         count::Count,
         instance::Instance,
-        message::{Ask, Claim, Told},
+        message::{Claim, Request, Response},
     },
     pondtrack_core::quota::{Demand, Grant, Urgency},
     pondtrack_proto::Name,
@@ -82,11 +82,11 @@
             })
             .collect();
         let told = match inst.peer(&limiter) {
-            Some(peer) => timeout(LIMIT, peer.ask(&inst, Ask::Claim(claims.clone()))).await.ok(),
+            Some(peer) => timeout(LIMIT, peer.ask(&inst, Request::Claim(claims.clone()))).await.ok(),
             None => None,
         };
         let grants = match told {
-            Some(Told::Granted(it)) if it.len() == claims.len() => it,
+            Some(Response::Granted(it)) if it.len() == claims.len() => it,
             _ => {
                 limit.pacing.borrow_mut().doubted(&limiter, inst.random(u64::MAX), inst.now());
                 limit.place(&inst);
@@ -110,7 +110,7 @@
         if word.send(first).is_ok() {
             told += 1;
             if matches!((first, own), (Grant::Granted { .. }, Grant::Refused(_))) {
-                inst.counters.one(Count::PassedOn);
+                inst.counters.increment(Count::PassedOn);
             }
         }
     }
--- a/crates/engine/src/limit/lending.rs
+++ b/crates/engine/src/limit/lending.rs
@@ -5,7 +5,7 @@
     crate::{
         count::Count,
         instance::{Instance, Micros, micros},
-        message::{Ask, Lending, Told},
+        message::{QuotaLoan, Request, Response},
     },
     pondtrack_core::{
         place::{self, Candidate},
@@ -32,20 +32,20 @@
 
 impl Limit {
     /// Answers another instance that lends its shares.
-    pub fn lent(&self, inst: &Instance, it: &Lending) -> Told {
+    pub fn lent(&self, inst: &Instance, it: &QuotaLoan) -> Response {
         let now = inst.now();
         let leaving = inst.leaving().is_some();
         if it.from != inst.settings.name {
-            inst.counters.one(Count::Lent);
+            inst.counters.increment(Count::Lent);
         }
         let slots = if leaving { Slots::default() } else { it.slots };
         let mut limiter = self.limiter.borrow_mut();
         let offer = Offer { slots, share: it.share, since: it.since, term: it.term };
         let answer = limiter.offered(&it.from, it.seq, offer, now);
-        let version = inst.desired().map(|it| it.version);
+        let version = inst.config().map(|it| it.version);
         let age = inst.unconfirmed().map(|it| (it / 1_000) as u32);
         let count = self.count.get().most as u32;
-        Told::Lent { answer, stamp: limiter.stamp(now), leaving, count, confirmed: version.zip(age) }
+        Response::Lent { answer, stamp: limiter.stamp(now), leaving, count, confirmed: version.zip(age) }
     }
 
     /// Counts the instances that share the limits, and finds the limiter of each slot.
@@ -102,7 +102,7 @@
     }
 
     /// A message for an instance: the shares of the slots that are meant for it.
-    fn lending(&self, inst: &Instance, to: &Name) -> Lending {
+    fn lending(&self, inst: &Instance, to: &Name) -> QuotaLoan {
         let now = inst.now();
         let stamps = self.stamps.borrow();
         let since = stamps.binary_search_by(|it| it.0.cmp(to)).ok().map(|at| stamps[at].1);
@@ -121,7 +121,7 @@
         }
         self.seq.set(self.seq.get().max(now) + 1);
         let from = inst.settings.name.clone();
-        Lending { from, seq: self.seq.get(), slots, share, since, term }
+        QuotaLoan { from, seq: self.seq.get(), slots, share, since, term }
     }
 
     /// An instance has answered a loan; says whether another message at once makes it whole.
@@ -146,7 +146,7 @@
 
     /// How long until the next messages to limiters.
     pub fn pause(&self, inst: &Instance) -> Duration {
-        if inst.desired().is_some_and(|it| it.organisations.is_none()) {
+        if inst.config().is_some_and(|it| it.organisations.is_none()) {
             return Duration::from_micros(PERIOD);
         }
         let now = inst.now();
@@ -177,7 +177,7 @@
 
     /// An instance can't be a limiter for now.
     fn missed(&self, inst: &Instance, name: &Name) {
-        inst.counters.one(Count::LimiterLost);
+        inst.counters.increment(Count::LimiterLost);
         self.pacing.borrow_mut().missed(name, inst.random(u64::MAX), inst.now());
     }
 }
@@ -186,7 +186,7 @@
 pub async fn run(inst: Rc<Instance>) {
     loop {
         sleep(inst.limit.pause(&inst)).await;
-        let limited = inst.desired().is_some_and(|it| it.organisations.is_some());
+        let limited = inst.config().is_some_and(|it| it.organisations.is_some());
         if !limited {
             continue;
         }
@@ -206,7 +206,7 @@
     let me = &inst.settings.name;
     for _ in 0..2 {
         let lending = limit.lending(inst, me);
-        let Told::Lent { answer, stamp, .. } = limit.lent(inst, &lending) else { return };
+        let Response::Lent { answer, stamp, .. } = limit.lent(inst, &lending) else { return };
         if !limit.took(me, lending.slots, answer, stamp, inst.now()) {
             return;
         }
@@ -221,8 +221,8 @@
         let lending = limit.lending(&inst, &to);
         let (sent, asked) = (lending.slots, inst.now());
         let patience = Duration::from_micros(limit.pacing.borrow().patience());
-        match timeout(patience, peer.ask(&inst, Ask::Lend(lending))).await {
-            Ok(Told::Lent { answer, stamp, leaving, count, confirmed }) => {
+        match timeout(patience, peer.ask(&inst, Request::Lend(lending))).await {
+            Ok(Response::Lent { answer, stamp, leaving, count, confirmed }) => {
                 limit.answered.set(inst.now());
                 note(&limit.told, count as usize, inst.now());
                 hear(&inst, confirmed, asked);
@@ -250,10 +250,10 @@
 
 /// Another instance has told, after it was asked, how long ago its configuration was the newest.
 fn hear(inst: &Instance, confirmed: Option<(u64, u32)>, asked: Micros) {
-    let known = inst.desired().map_or(0, |it| it.version);
+    let known = inst.config().map_or(0, |it| it.version);
     if let Some((version, age_ms)) = confirmed
         && version <= known
     {
-        inst.confirm_desired(asked.saturating_sub(u64::from(age_ms) * 1_000));
+        inst.confirm_config(asked.saturating_sub(u64::from(age_ms) * 1_000));
     }
 }
--- a/crates/engine/src/link.rs
+++ b/crates/engine/src/link.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         instance::{Clock, Instance, Micros, micros},
-        message::{Ask, Message, Told},
+        message::{Message, Request, Response},
     },
     bytes::BytesMut,
     futures::StreamExt,
@@ -43,7 +43,7 @@
 /// A link to another instance, over which this one asks.
 pub struct Link {
     out: mpsc::UnboundedSender<Message>,
-    pending: RefCell<Vec<(u64, oneshot::Sender<Told>)>>,
+    pending: RefCell<Vec<(u64, oneshot::Sender<Response>)>>,
     next: Cell<u64>,
     /// When anything came, be it a part of a message.
     heard: Rc<Cell<Micros>>,
@@ -135,16 +135,16 @@
     }
 
     /// Asks for something.
-    pub async fn ask(&self, ask: Ask) -> Told {
+    pub async fn ask(&self, ask: Request) -> Response {
         self.put(ask).answer().await
     }
 
     /// Asks for something, and lets the answer come.
-    pub fn put(&self, ask: Ask) -> Question<'_> {
+    pub fn put(&self, ask: Request) -> Question<'_> {
         let id = self.stream();
-        let waits = ask.waits();
+        let waits = ask.is_cancellable();
         let (answer, got) = oneshot::channel();
-        if !self.open.get() || self.out.send(Message::Ask { id, ask }).is_err() {
+        if !self.open.get() || self.out.send(Message::Request { id, request: ask }).is_err() {
             return Question { link: self, id, waits: false, got: None };
         }
         if self.pending.borrow().is_empty() {
@@ -158,14 +158,14 @@
         while let Some(Ok(bytes)) = reader.next().await {
             self.pinged.set(false);
             match Message::decode(&bytes) {
-                Some(Message::Told { id, told }) => self.resolve(id, told),
+                Some(Message::Response { id, response: told }) => self.resolve(id, told),
                 Some(Message::Pong) => {}
                 Some(
-                    Message::Ask { .. }
+                    Message::Request { .. }
                     | Message::Drop { .. }
-                    | Message::EndTurn { .. }
-                    | Message::Crowded { .. }
-                    | Message::Beat(_)
+                    | Message::ReleasePermit { .. }
+                    | Message::Overloaded { .. }
+                    | Message::Heartbeat(_)
                     | Message::Cancel { .. }
                     | Message::Ping,
                 )
@@ -178,7 +178,7 @@
         self.close();
     }
 
-    fn resolve(&self, id: u64, told: Told) {
+    fn resolve(&self, id: u64, told: Response) {
         let mut pending = self.pending.borrow_mut();
         let known = pending.binary_search_by_key(&id, |it| it.0).ok().map(|at| pending.remove(at).1);
         let missed = match known {
@@ -186,8 +186,8 @@
             None => Some(told),
         };
         // Whoever asked may have stopped waiting; a turn goes back.
-        if let Some(Told::Turn { turn, .. }) = missed {
-            self.tell(Message::EndTurn { turn });
+        if let Some(Response::Permit { permit: turn, .. }) = missed {
+            self.tell(Message::ReleasePermit { permit: turn });
         }
     }
 
@@ -230,14 +230,14 @@
     /// Whether it may wait for something there.
     waits: bool,
     /// Its answer; none where it couldn't be asked.
-    got: Option<oneshot::Receiver<Told>>,
+    got: Option<oneshot::Receiver<Response>>,
 }
 
 impl Question<'_> {
     /// Its answer.
-    pub async fn answer(mut self) -> Told {
-        let Some(got) = &mut self.got else { return Told::NotSent("the link is closed".to_owned()) };
-        let told = got.await.unwrap_or_else(|_| Told::Broken("the link broke".to_owned()));
+    pub async fn answer(mut self) -> Response {
+        let Some(got) = &mut self.got else { return Response::NotSent("the link is closed".to_owned()) };
+        let told = got.await.unwrap_or_else(|_| Response::Broken("the link broke".to_owned()));
         self.waits = false;
         told
     }
@@ -255,7 +255,9 @@
         }
         match self.got.as_mut().map(oneshot::Receiver::try_recv) {
             // It came, and whoever asked has left.
-            Some(Ok(Told::Turn { turn, .. })) => self.link.tell(Message::EndTurn { turn }),
+            Some(Ok(Response::Permit { permit: turn, .. })) => {
+                self.link.tell(Message::ReleasePermit { permit: turn })
+            }
             Some(Ok(_)) => {}
             Some(Err(_)) | None => self.link.cancel(self.id),
         }
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -18,7 +18,7 @@
         quota::{Demand, Grant, Reply, Slots, Stamp},
         turn::Rank,
     },
-    pondtrack_proto::{Incarnation, Mark, Name, Revision},
+    pondtrack_proto::{Incarnation, LogPosition, Name, Revision},
     serde::{Deserialize, Serialize},
     std::net::SocketAddrV4,
 };
@@ -27,18 +27,22 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Something is wanted.
-    Ask {
+    #[serde(rename = "Ask")]
+    Request {
         /// Matches the answer to it.
         id: u64,
         /// What is wanted.
-        ask: Ask,
+        #[serde(rename = "ask")]
+        request: Request,
     },
     /// The answer.
-    Told {
+    #[serde(rename = "Told")]
+    Response {
         /// The question's id.
         id: u64,
         /// The answer.
-        told: Told,
+        #[serde(rename = "told")]
+        response: Response,
     },
     /// A transaction was given up by its owner.
     Drop {
@@ -46,17 +50,21 @@
         stream: u64,
     },
     /// A turn at a server isn't needed any longer.
-    EndTurn {
+    #[serde(rename = "EndTurn")]
+    ReleasePermit {
         /// The turn.
-        turn: u64,
+        #[serde(rename = "turn")]
+        permit: u64,
     },
     /// Turns at a server come from the instance that says so, for all.
-    Crowded {
+    #[serde(rename = "Crowded")]
+    Overloaded {
         /// The server.
         server: Name,
     },
     /// What an instance that watches the store knows.
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     /// Nobody waits for the answer to a question any longer: what it asked for needn't begin.
     Cancel {
         /// The question's id.
@@ -70,7 +78,7 @@
 
 /// What an instance that watches the store knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The instance.
     pub from: Name,
     /// The configuration's version.
@@ -100,15 +108,16 @@
 
 /// What an instance wants of another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum Request {
     /// To run a statement at a server.
-    Run(Box<Run>),
+    Run(Box<RunRequest>),
     /// A turn at a server that this instance reaches itself.
-    Turn(TurnWish),
+    #[serde(rename = "Turn")]
+    Permit(PermitRequest),
     /// To hand out what it knows of a collection.
-    Fetch(Fetch),
+    Fetch(FetchRequest),
     /// To use the asking one's shares of limits, or to give them back.
-    Lend(Lending),
+    Lend(QuotaLoan),
     /// Operations within the limits of organisations.
     Claim(Vec<Claim>),
     /// To tell what it knows of a group.
@@ -116,12 +125,12 @@
         /// The group.
         group: Name,
         /// Servers whose accounts are to be renewed first where they are older, if the other one reaches them.
-        wanted: Vec<Wanted>,
+        wanted: Vec<StatusQuery>,
     },
     /// To give a server an order that it answers with its account of itself.
     Order {
         /// The server.
-        server: ServerRun,
+        server: ServerProcess,
         /// The order.
         order: Order,
     },
@@ -129,7 +138,7 @@
 
 /// Shares of limits that an instance lends to another, and to no one else.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lending {
+pub struct QuotaLoan {
     /// Who lends them.
     pub from: Name,
     /// Rises with each message.
@@ -155,18 +164,18 @@
 
 /// A server whose account of itself is wanted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wanted {
+pub struct StatusQuery {
     /// The server.
-    pub server: ServerRun,
+    pub server: ServerProcess,
     /// How long before this message it may have been asked for it at most, in microseconds.
     pub age: Micros,
 }
 
 /// What an instance knows of a server's account of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct StatusReport {
     /// The server.
-    pub server: ServerRun,
+    pub server: ServerProcess,
     /// Its account.
     pub status: Status,
     /// How long before the question for this came the server was asked, in microseconds; 0 if it was later.
@@ -175,22 +184,22 @@
 
 /// A server in the run of its process that the sender knows: what another run shows would be counted for the wrong one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerRun {
+pub struct ServerProcess {
     /// The server's id.
     pub id: Name,
     /// The run.
     pub incarnation: Incarnation,
 }
 
-impl From<&Server> for ServerRun {
-    fn from(it: &Server) -> ServerRun {
-        ServerRun { id: it.id.clone(), incarnation: it.incarnation }
+impl From<&Server> for ServerProcess {
+    fn from(it: &Server) -> ServerProcess {
+        ServerProcess { id: it.id.clone(), incarnation: it.incarnation }
     }
 }
 
 /// A wish for a turn at a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TurnWish {
+pub struct PermitRequest {
     /// The server.
     pub server: Name,
     /// The statement's rank; its aim counts from now, as clocks are not compared.
@@ -203,7 +212,7 @@
 
 /// A wish for what another instance knows of a collection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fetch {
+pub struct FetchRequest {
     /// The collection.
     pub what: Collection,
     /// Who wants it.
@@ -214,9 +223,9 @@
     pub next: Option<(u64, u32)>,
 }
 
-/// A part of an encoded [`Document`](crate::document::Document).
+/// A part of an encoded [`Update`](crate::update::Update).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Chunk {
     /// The version that the document leads to.
     pub at: u64,
     /// Bytes of the whole document.
@@ -229,13 +238,13 @@
 
 /// A statement that another instance runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Run {
+pub struct RunRequest {
     /// Tells the transactions of a link apart.
     pub stream: u64,
     /// Whether the stream's transaction is open already.
     pub pinned: bool,
     /// The server.
-    pub server: ServerRun,
+    pub server: ServerProcess,
     /// Its rank among those that wait; its aim counts from now, as clocks are not compared.
     pub rank: Option<Rank>,
     /// A statement that takes longer is slow, in microseconds.
@@ -251,12 +260,12 @@
     /// The named statement that it runs.
     pub named: Option<Prepared>,
     /// What is sent.
-    pub what: Sent,
+    pub what: Command,
 }
 
 /// What is sent to a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Sent {
+pub enum Command {
     /// A caller's statement.
     Statement {
         /// Its id.
@@ -264,20 +273,20 @@
         /// Its text; the arguments alone if it runs a named statement.
         text: Bytes,
         /// The position that the server's log has to hold.
-        after: Option<Mark>,
+        after: Option<LogPosition>,
     },
     /// An order of pondtrack's own.
     Order {
         /// The order.
         order: Order,
         /// The position that the server's log has to hold.
-        after: Option<Mark>,
+        after: Option<LogPosition>,
     },
 }
 
 /// What an instance answers another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
+pub enum Response {
     /// The server's answer.
     Answer {
         /// The answer.
@@ -286,11 +295,14 @@
         queued: bool,
     },
     /// The statement may run.
-    Turn {
+    #[serde(rename = "Turn")]
+    Permit {
         /// Tells turns apart.
-        turn: u64,
+        #[serde(rename = "turn")]
+        permit: u64,
         /// Whether others have to wait.
-        crowded: bool,
+        #[serde(rename = "crowded")]
+        overloaded: bool,
     },
     /// Nothing was sent: the server has too much to do to answer in time.
     Refused,
@@ -303,13 +315,14 @@
     /// The server's account of itself, if it gave one.
     Status(Option<Status>),
     /// What is known of a group: the latest account of each of its servers.
-    State(Vec<Sighting>),
+    State(Vec<StatusReport>),
     /// Nothing was sent: nobody listens at the server's address.
     Gone,
     /// It was sent, and not answered in time.
     Late,
     /// A part of a document.
-    Part(Part),
+    #[serde(rename = "Part")]
+    Chunk(Chunk),
     /// The other one's shares are used here, and the present moment.
     Lent {
         /// The slots, and whether the message was ignored.
@@ -330,20 +343,24 @@
     Elsewhere(Option<Name>),
 }
 
-impl Ask {
+impl Request {
     /// Whether it may wait for a turn or a connection, and be cancelled meanwhile.
-    pub fn waits(&self) -> bool {
+    pub fn is_cancellable(&self) -> bool {
         match self {
-            Ask::Run(_) | Ask::Turn(_) => true,
-            Ask::Fetch(_) | Ask::Lend(_) | Ask::Claim(_) | Ask::State { .. } | Ask::Order { .. } => false,
+            Request::Run(_) | Request::Permit(_) => true,
+            Request::Fetch(_)
+            | Request::Lend(_)
+            | Request::Claim(_)
+            | Request::State { .. }
+            | Request::Order { .. } => false,
         }
     }
 }
 
-impl Told {
+impl Response {
     /// Whether a server may have what was asked to be run.
     pub fn may_have_run(&self) -> bool {
-        !matches!(self, Told::NotSent(_) | Told::Busy | Told::Refused | Told::Gone)
+        !matches!(self, Response::NotSent(_) | Response::Busy | Response::Refused | Response::Gone)
     }
 }
 
--- a/crates/engine/src/model.rs
+++ b/crates/engine/src/model.rs
@@ -3,7 +3,7 @@
 use {
     crate::organisation::{CallerKey, KeyHash, Organisations, Owner},
     bytes::Bytes,
-    pondtrack_proto::{Incarnation, Mark, Name, Term},
+    pondtrack_proto::{Incarnation, LogPosition, Name, Term},
     serde::{Deserialize, Serialize},
     std::{net::SocketAddrV4, time::Duration},
     strum::{Display, IntoStaticStr},
@@ -23,7 +23,7 @@
 
 /// What a statement asks for. Names and values are the caller's own bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verb {
+pub enum StatementKind {
     /// Begins a transaction.
     Begin(Access),
     /// Ends a transaction and keeps its writes.
@@ -72,7 +72,7 @@
     /// The text, as the caller sent it.
     pub text: Bytes,
     /// What it asks for.
-    pub verb: Verb,
+    pub verb: StatementKind,
 }
 
 /// What a caller sends.
@@ -109,7 +109,7 @@
 /// Why a statement has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
-pub enum Code {
+pub enum ErrorCode {
     /// Too much to do: not run.
     Busy,
     /// The transaction was rolled back: nothing of it is kept.
@@ -140,30 +140,30 @@
     NoAuth,
 }
 
-impl Code {
+impl ErrorCode {
     /// Whether it states that the statement didn't run, and left the transaction state as it was.
-    pub fn not_run(self) -> bool {
+    pub fn is_not_run(self) -> bool {
         matches!(
             self,
-            Code::Busy
-                | Code::Lagging
-                | Code::ReadOnly
-                | Code::WrongServer
-                | Code::TooMany
-                | Code::NoStatement
+            ErrorCode::Busy
+                | ErrorCode::Lagging
+                | ErrorCode::ReadOnly
+                | ErrorCode::WrongServer
+                | ErrorCode::TooMany
+                | ErrorCode::NoStatement
         )
     }
 }
 
 /// How a statement ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum Completion {
     /// With success; the server's proof of it, or nothing for statements answered here.
     Done(Option<Bytes>),
     /// With an error.
     Error {
         /// What kind.
-        code: Code,
+        code: ErrorCode,
         /// For people, and when to come back.
         text: Bytes,
     },
@@ -175,35 +175,35 @@
     /// The rows, each as the server sent it.
     pub rows: Vec<Bytes>,
     /// How it ended.
-    pub end: End,
+    pub end: Completion,
     /// The transaction state after it.
     pub txn: TxnState,
     /// The position that the server's reads show after it, or that a commit has in the log.
-    pub mark: Option<Mark>,
+    pub mark: Option<LogPosition>,
 }
 
 impl Answer {
     /// A success that needed no server.
     pub fn done(txn: TxnState) -> Answer {
-        Answer { rows: Vec::new(), end: End::Done(None), txn, mark: None }
+        Answer { rows: Vec::new(), end: Completion::Done(None), txn, mark: None }
     }
 
     /// An error.
-    pub fn error(code: Code, text: impl Into<Bytes>, txn: TxnState) -> Answer {
-        Answer { rows: Vec::new(), end: End::Error { code, text: text.into() }, txn, mark: None }
+    pub fn error(code: ErrorCode, text: impl Into<Bytes>, txn: TxnState) -> Answer {
+        Answer { rows: Vec::new(), end: Completion::Error { code, text: text.into() }, txn, mark: None }
     }
 
     /// The error's kind, if it is one.
-    pub fn code(&self) -> Option<Code> {
+    pub fn error_code(&self) -> Option<ErrorCode> {
         match &self.end {
-            End::Done(_) => None,
-            End::Error { code, .. } => Some(*code),
+            Completion::Done(_) => None,
+            Completion::Error { code, .. } => Some(*code),
         }
     }
 
     /// Whether it is a success.
     pub fn is_done(&self) -> bool {
-        matches!(self.end, End::Done(_))
+        matches!(self.end, Completion::Done(_))
     }
 }
 
@@ -225,7 +225,7 @@
     /// The newest term it knows.
     pub term: Term,
     /// The end of its log.
-    pub received: Mark,
+    pub received: LogPosition,
     /// The term at which it was told to stop receiving; none while it receives.
     pub paused: Option<Term>,
     /// How far its reads are behind its log, in milliseconds.
@@ -282,7 +282,7 @@
 
 impl ReadPolicy {
     /// How old the answer may be; none when it has to be the latest.
-    pub fn age(self) -> Option<Duration> {
+    pub fn max_age(self) -> Option<Duration> {
         match self {
             ReadPolicy::Latest => None,
             ReadPolicy::Bounded(age) | ReadPolicy::OwnWrites(age) => Some(age),
@@ -320,7 +320,7 @@
 
 /// A configuration in full.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Desired {
+pub struct Config {
     /// Its version; a higher one replaces it.
     pub version: u64,
     /// Routes, sorted by database.
@@ -335,7 +335,7 @@
     pub message_bytes: usize,
 }
 
-impl Desired {
+impl Config {
     /// The route of a database.
     pub fn route(&self, database: &str) -> Option<&Route> {
         let at = self.routes.binary_search_by(|it| it.database.as_str().cmp(database)).ok()?;
@@ -348,9 +348,9 @@
     }
 
     /// Whose a caller with a key is on a route; none where it isn't allowed there.
-    pub fn owner(&self, key: &KeyHash, route: &Route) -> Option<Owner> {
+    pub fn owner_of(&self, key: &KeyHash, route: &Route) -> Option<Owner> {
         let Some(organisations) = &self.organisations else { return Some(Owner::Shared) };
-        match organisations.of_key(key) {
+        match organisations.find_by_key(key) {
             Some(it) => Some(Owner::Organisation(it.name.clone())),
             None => route.public.then_some(Owner::Shared),
         }
--- a/crates/engine/src/organisation.rs
+++ b/crates/engine/src/organisation.rs
@@ -131,13 +131,13 @@
     }
 
     /// The organisation that has a key.
-    pub fn of_key(&self, key: &KeyHash) -> Option<&Organisation> {
+    pub fn find_by_key(&self, key: &KeyHash) -> Option<&Organisation> {
         let at = self.keys.binary_search_by(|it| it.0.cmp(key)).ok()?;
         Some(&self.all[self.keys[at].1])
     }
 
     /// An organisation, by its name.
-    pub fn find(&self, name: &str) -> Option<&Organisation> {
+    pub fn get(&self, name: &str) -> Option<&Organisation> {
         let at = self.all.binary_search_by(|it| it.name.as_str().cmp(name)).ok()?;
         Some(&self.all[at])
     }
@@ -145,7 +145,7 @@
     /// An owner's share of a server that has too much to do: by the operations a second that it may use.
     pub fn share(&self, owner: &Owner) -> Share {
         let Owner::Organisation(name) = owner else { return Share { owner: UNNAMED, weight: 1 } };
-        let quota = self.find(name).and_then(|it| it.quota);
+        let quota = self.get(name).and_then(|it| it.quota);
         let weight = quota.map_or(1, |it| it.rate.max(1.0) as u32);
         Share { owner: xxh3_64(name.as_bytes()).max(UNNAMED + 1), weight }
     }
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -4,7 +4,7 @@
     crate::{
         instance::{Instance, Micros, micros},
         link::Link,
-        message::{Ask, Told},
+        message::{Request, Response},
     },
     pondtrack_core::capacity::Capacity,
     pondtrack_proto::Name,
@@ -111,8 +111,8 @@
     }
 
     /// Asks it for something.
-    pub async fn ask(&self, inst: &Rc<Instance>, ask: Ask) -> Told {
-        let Some(link) = self.link(inst).await else { return Told::NotSent("no link".to_owned()) };
+    pub async fn ask(&self, inst: &Rc<Instance>, ask: Request) -> Response {
+        let Some(link) = self.link(inst).await else { return Response::NotSent("no link".to_owned()) };
         link.ask(ask).await
     }
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -9,9 +9,9 @@
         conn::{Conn, ConnError, Values},
         count::Count,
         instance::Instance,
-        model::{Code, Server},
+        model::{ErrorCode, Server},
         organisation::Owner,
-        settings::{EXTRA_IDLE, FULL_PAUSE},
+        settings::{CONN_LIMIT_BACKOFF, EXTRA_CONN_IDLE},
     },
     std::{
         cell::{Cell, RefCell},
@@ -129,7 +129,7 @@
                 let owner = want.owner.clone().unwrap_or_default();
                 match self.open(inst, server, owner).await {
                     Ok(it) => return Ok(it),
-                    Err(ConnError::Refused { code: Code::TooMany, .. }) => {}
+                    Err(ConnError::Refused { code: ErrorCode::TooMany, .. }) => {}
                     Err(e) => return Err(Denied::Unreachable(e)),
                 }
             }
@@ -150,7 +150,7 @@
         let share = self.share.get();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|it| {
-            let extra = self.open.get() > share && now.duration_since(it.since) >= EXTRA_IDLE;
+            let extra = self.open.get() > share && now.duration_since(it.since) >= EXTRA_CONN_IDLE;
             let keep = !all && !extra && it.conn.is_alive();
             if !keep {
                 self.open.set(self.open.get() - 1);
@@ -214,16 +214,16 @@
         // Counted before it is there, so that callers at the same time don't open too many.
         self.open.set(self.open.get() + 1);
         let mut place = Lease { pool: self.clone(), conn: None, returned: false, new: true, pinned: false };
-        inst.counters.one(Count::Opened);
-        match Conn::open(inst.edge.dialect.as_ref(), server, owner).await {
+        inst.counters.increment(Count::Opened);
+        match Conn::open(inst.adapters.protocol.as_ref(), server, owner).await {
             Ok(conn) => {
                 place.conn = Some(conn);
                 Ok(place)
             }
             Err(e) => {
-                if let ConnError::Refused { code: Code::TooMany, .. } = e {
-                    inst.counters.one(Count::Refused);
-                    self.full.set(Some(Instant::now() + FULL_PAUSE));
+                if let ConnError::Refused { code: ErrorCode::TooMany, .. } = e {
+                    inst.counters.increment(Count::Refused);
+                    self.full.set(Some(Instant::now() + CONN_LIMIT_BACKOFF));
                 }
                 Err(e)
             }
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -5,12 +5,12 @@
 
 use {
     crate::{
-        model::{Answer, CallerMessage, Desired, Order, Server, Status},
+        model::{Answer, CallerMessage, Config, Order, Server, Status},
         organisation::Owner,
     },
     bytes::{Bytes, BytesMut},
     futures::future::LocalBoxFuture,
-    pondtrack_proto::{Mark, Name, Revision},
+    pondtrack_proto::{LogPosition, Name, Revision},
     serde::{Deserialize, Serialize},
     snafu::Snafu,
     std::{net::SocketAddrV4, time::Duration},
@@ -35,7 +35,7 @@
     /// What is run.
     pub text: Text<'a>,
     /// The position that the server's log has to hold, or the statement doesn't run.
-    pub after: Option<Mark>,
+    pub after: Option<LogPosition>,
 }
 
 /// The text of a statement towards a server.
@@ -53,36 +53,36 @@
 }
 
 /// The wire that callers and servers speak.
-pub trait Dialect {
+pub trait WireProtocol {
     /// Takes the next whole message of a caller out of `buf`; an error ends the session.
-    fn caller(&self, buf: &mut BytesMut) -> Result<Option<CallerMessage>, WireError>;
+    fn decode_caller(&self, buf: &mut BytesMut) -> Result<Option<CallerMessage>, WireError>;
 
     /// Appends an answer to a caller.
-    fn reply(&self, answer: &Answer, out: &mut BytesMut);
+    fn encode_answer(&self, answer: &Answer, out: &mut BytesMut);
 
     /// Appends the answer to a session that was opened.
-    fn welcome(&self, out: &mut BytesMut);
+    fn encode_welcome(&self, out: &mut BytesMut);
 
     /// Appends the refusal of a session.
-    fn refuse(&self, answer: &Answer, out: &mut BytesMut);
+    fn encode_refusal(&self, answer: &Answer, out: &mut BytesMut);
 
     /// Appends the opening of a connection, for an owner's statements, to a server that must have this id.
-    fn open(&self, group: &str, id: &str, owner: &Owner, out: &mut BytesMut);
+    fn encode_open(&self, group: &str, id: &str, owner: &Owner, out: &mut BytesMut);
 
     /// Appends a caller's statement towards a server.
-    fn forward(&self, it: Forward<'_>, out: &mut BytesMut);
+    fn encode_statement(&self, it: Forward<'_>, out: &mut BytesMut);
 
     /// Appends an order of pondtrack's own towards a server.
-    fn order(&self, order: &Order, after: Option<Mark>, out: &mut BytesMut);
+    fn encode_order(&self, order: &Order, after: Option<LogPosition>, out: &mut BytesMut);
 
     /// Takes the whole answer to an opening out of `buf`.
-    fn opening(&self, buf: &mut BytesMut) -> Result<Option<Answer>, WireError>;
+    fn decode_open(&self, buf: &mut BytesMut) -> Result<Option<Answer>, WireError>;
 
     /// Takes the next whole answer to a statement or an order out of `buf`.
-    fn answer(&self, buf: &mut BytesMut) -> Result<Option<Answer>, WireError>;
+    fn decode_answer(&self, buf: &mut BytesMut) -> Result<Option<Answer>, WireError>;
 
     /// Reads the answer to [`Order::Status`], and to the orders that are answered like it.
-    fn status(&self, answer: &Answer) -> Option<Status>;
+    fn decode_status(&self, answer: &Answer) -> Option<Status>;
 }
 
 /// Collections in the store.
@@ -90,7 +90,9 @@
 #[strum(serialize_all = "snake_case")]
 pub enum Collection {
     /// The configuration.
-    Desired,
+    #[serde(rename = "Desired")]
+    #[strum(serialize = "desired")]
+    Config,
     /// The directory of servers.
     Servers,
     /// Instances of pondtrack that are up.
@@ -119,7 +121,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// The configuration.
-    Desired(Desired),
+    Config(Config),
     /// A server.
     Server(Server),
     /// An instance.
@@ -185,7 +187,7 @@
 }
 
 /// The outcome of a call.
-pub type Reply<T, E> = LocalBoxFuture<'static, Result<T, E>>;
+pub type CallFuture<T, E> = LocalBoxFuture<'static, Result<T, E>>;
 
 /// The platform's store. Each call is one request; nothing is repeated.
 pub trait Store {
@@ -193,10 +195,10 @@
     fn era(&self) -> Option<u64>;
 
     /// Reads a collection; `stale` allows an answer that is seconds old, at a lower price.
-    fn list(&self, what: Collection, stale: bool) -> Reply<Objects, StoreError>;
+    fn list(&self, what: Collection, stale: bool) -> CallFuture<Objects, StoreError>;
 
     /// Waits for changes since a revision.
-    fn watch(&self, what: Collection, since: Revision, wait: Duration) -> Reply<Objects, StoreError>;
+    fn watch(&self, what: Collection, since: Revision, wait: Duration) -> CallFuture<Objects, StoreError>;
 
     /// Writes an object: replaces it at this revision, or creates it with none. Hands back its revision.
     fn put(
@@ -205,10 +207,10 @@
         name: Name,
         record: Record,
         revision: Option<Revision>,
-    ) -> Reply<Revision, StoreError>;
+    ) -> CallFuture<Revision, StoreError>;
 
     /// Removes an object.
-    fn remove(&self, what: Collection, name: Name) -> Reply<(), StoreError>;
+    fn remove(&self, what: Collection, name: Name) -> CallFuture<(), StoreError>;
 }
 
 /// Why an order to promote has no success.
@@ -235,13 +237,13 @@
 /// The platform's order that makes a server the primary.
 pub trait Promoter {
     /// Gives the order, in the name of a holder with its fencing token.
-    fn promote(&self, group: Name, server: Name, holder: Name, token: u64) -> Reply<(), PromoteError>;
+    fn promote(&self, group: Name, server: Name, holder: Name, token: u64) -> CallFuture<(), PromoteError>;
 }
 
 /// Everything that an edge brings.
-pub struct Edge {
+pub struct Adapters {
     /// The wire.
-    pub dialect: Box<dyn Dialect>,
+    pub protocol: Box<dyn WireProtocol>,
     /// The store.
     pub store: Box<dyn Store>,
     /// The order to promote.
--- a/crates/engine/src/read.rs
+++ b/crates/engine/src/read.rs
@@ -9,9 +9,9 @@
         count::Count,
         group::Group,
         instance::Micros,
-        model::{Answer, Code, ReadPolicy, TxnState},
+        model::{Answer, ErrorCode, ReadPolicy, TxnState},
         session::Session,
-        settings::{HEDGE_SHARE, RETRY_PAUSE, TRIES},
+        settings::{HEDGE_FRACTION, MAX_ATTEMPTS, RETRY_BACKOFF_MS},
         statement::{Miss, NO_TIME, Need, UNCONFIRMED, Work, busy},
         upstream::Upstream,
     },
@@ -77,7 +77,7 @@
     fn outcome(self, why: &str) -> Answer {
         match self.failed {
             Some(it) => it,
-            None if self.lost => Answer::error(Code::Timeout, "no answer in time", TxnState::Idle),
+            None if self.lost => Answer::error(ErrorCode::Timeout, "no answer in time", TxnState::Idle),
             None => busy(why, TxnState::Idle),
         }
     }
@@ -92,9 +92,9 @@
         let latest = self.route.policy == ReadPolicy::Latest;
         let mut tries = Tries::default();
         let mut flights: Flights = FuturesUnordered::new();
-        let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
+        let mut backoff = Backoff::new(RETRY_BACKOFF_MS.0, RETRY_BACKOFF_MS.1);
         let mut hedge = Some(self.arrived);
-        while tries.tried.len() < TRIES && Instant::now() < self.end {
+        while tries.tried.len() < MAX_ATTEMPTS && Instant::now() < self.end {
             if flights.is_empty() {
                 if tries.are_vain() && self.gives_up(&group) {
                     break;
@@ -111,7 +111,7 @@
                         continue;
                     }
                 }
-                hedge = hedge.map(|_| Instant::now() + self.route.objective.mul_f64(HEDGE_SHARE));
+                hedge = hedge.map(|_| Instant::now() + self.route.objective.mul_f64(HEDGE_FRACTION));
             }
             let limit = hedge.filter(|_| !latest).unwrap_or(self.end).min(self.end);
             let flight = match timeout_at(limit, flights.next()).await {
@@ -142,7 +142,7 @@
                 Landed::Refused if flights.is_empty() => return tries.outcome(NO_TIME),
                 Landed::Full | Landed::Refused | Landed::NotRun => {}
             }
-            self.inst.counters.one(Count::Retries);
+            self.inst.counters.increment(Count::Retries);
             if tries.tried.len() >= group.servers().len() {
                 self.pause(&mut backoff).await;
             }
@@ -159,7 +159,7 @@
         if tried.last().is_some_and(|it| old.contains(it)) {
             return None;
         }
-        self.inst.counters.one(Count::Hedges);
+        self.inst.counters.increment(Count::Hedges);
         Some(it)
     }
 
@@ -212,17 +212,17 @@
         };
         self.judge(group, &up, &answer, sent, &channel);
         need.learn(&up, &answer, sent, now);
-        if answer.txn == TxnState::Idle && answer.code() != Some(Code::NoStatement) {
+        if answer.txn == TxnState::Idle && answer.error_code() != Some(ErrorCode::NoStatement) {
             channel.give_back();
         }
-        match answer.code() {
+        match answer.error_code() {
             None => {
                 let replica = group.primary().is_none_or(|it| it.index != up.index);
-                self.inst.counters.one(if replica { Count::ReplicaReads } else { Count::PrimaryReads });
+                self.inst.counters.increment(if replica { Count::ReplicaReads } else { Count::PrimaryReads });
                 Landed::Done(answer, term)
             }
-            Some(code) if code.not_run() => Landed::NotRun,
-            Some(Code::Failed | Code::Timeout) => Landed::Failed(answer),
+            Some(code) if code.is_not_run() => Landed::NotRun,
+            Some(ErrorCode::Failed | ErrorCode::Timeout) => Landed::Failed(answer),
             Some(_) => Landed::Done(answer, term),
         }
     }
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -6,20 +6,20 @@
         channel::{Channel, Direct, NoWay, Sending, What},
         count::Count,
         dispatch::{TURN_MOST, count_lifted, tell_homes},
+        distribution,
         group::{Group, sightings},
-        handout,
         instance::{Instance, Micros, accept_all, micros},
         link::{Halves, Reader, STREAM_SILENCE, halves},
-        message::{Ask, Message, Run, Sent, ServerRun, Told, TurnWish},
+        message::{Command, Message, PermitRequest, Request, Response, RunRequest, ServerProcess},
         model::{Order, Status, TxnState},
         organisation::Owner,
         pool::Want,
         ports::{Forward, Text},
         progress::Progress,
         session::Prepared,
-        settings::ASK_WAIT,
-        spread,
+        settings::STATUS_CONN_TIMEOUT,
         turnstile::{Permit, Turn},
+        upload,
         upstream::{Exchange, Upstream},
     },
     bytes::BytesMut,
@@ -103,48 +103,50 @@
     /// Takes a message in; says whether the link goes on.
     fn take_in(self: &Rc<Self>, message: Message) -> bool {
         match message {
-            Message::Ask { id, ask } => {
+            Message::Request { id, request: ask } => {
                 let progress = self.expect(id, &ask);
                 tokio::task::spawn_local(self.clone().attend(id, ask, progress));
             }
-            Message::Crowded { server } => {
+            Message::Overloaded { server } => {
                 if let Some((_, up)) = find(&self.inst, &server) {
                     up.crowd(self.inst.now());
                 }
             }
-            Message::EndTurn { turn } => self.end_turn(turn),
+            Message::ReleasePermit { permit: turn } => self.end_turn(turn),
             Message::Drop { stream } => self.drop_stream(stream),
-            Message::Beat(it) => drop(tokio::task::spawn_local(spread::heard(self.inst.clone(), it))),
+            Message::Heartbeat(it) => {
+                drop(tokio::task::spawn_local(distribution::on_heartbeat(self.inst.clone(), it)))
+            }
             // One that was answered meanwhile isn't known any longer.
             Message::Cancel { id } => self.cancel(id),
             // On a closed link nobody waits for it.
             Message::Ping => drop(self.out.send(Message::Pong)),
-            Message::Told { .. } | Message::Pong => return false,
+            Message::Response { .. } | Message::Pong => return false,
         }
         true
     }
 
     /// Notes a question that may be cancelled from now on, be it with the next message.
-    fn expect(&self, id: u64, ask: &Ask) -> Rc<Progress> {
+    fn expect(&self, id: u64, ask: &Request) -> Rc<Progress> {
         let progress = Rc::new(Progress::default());
         let stream = match ask {
-            Ask::Run(it) => Some(it.stream),
+            Request::Run(it) => Some(it.stream),
             _ => None,
         };
-        if ask.waits() {
+        if ask.is_cancellable() {
             self.asked.borrow_mut().push(Asked { id, stream, progress: progress.clone() });
         }
         progress
     }
 
     /// Answers a question, unless it is cancelled before a server has anything of it.
-    async fn attend(self: Rc<Self>, id: u64, ask: Ask, progress: Rc<Progress>) {
+    async fn attend(self: Rc<Self>, id: u64, ask: Request, progress: Rc<Progress>) {
         tokio::select! {
             biased;
             // First, as one that was cancelled at once needn't begin.
             () = progress.given_up() => {
-                self.inst.counters.one(Count::Cancelled);
-                self.tell(id, Told::Refused);
+                self.inst.counters.increment(Count::Cancelled);
+                self.tell(id, Response::Refused);
             }
             () = self.answer(id, ask, &progress) => {}
         }
@@ -179,30 +181,30 @@
         }
     }
 
-    async fn answer(&self, id: u64, ask: Ask, progress: &Progress) {
+    async fn answer(&self, id: u64, ask: Request, progress: &Progress) {
         let inst = &self.inst;
         let told = match ask {
-            Ask::Run(it) => self.run(*it, progress).await,
-            Ask::Turn(it) => return self.grant(id, it, progress).await,
-            Ask::Fetch(it) => handout::answer(inst, it).await,
-            Ask::Lend(it) => inst.limit.lent(inst, &it),
-            Ask::Claim(it) => inst.limit.claimed(inst, &it),
-            Ask::State { group, wanted } => Told::State(sightings::tell(inst, &group, &wanted).await),
-            Ask::Order { server, order } => order_server(inst, &server, &order).await,
+            Request::Run(it) => self.run(*it, progress).await,
+            Request::Permit(it) => return self.grant(id, it, progress).await,
+            Request::Fetch(it) => upload::answer(inst, it).await,
+            Request::Lend(it) => inst.limit.lent(inst, &it),
+            Request::Claim(it) => inst.limit.claimed(inst, &it),
+            Request::State { group, wanted } => Response::State(sightings::tell(inst, &group, &wanted).await),
+            Request::Order { server, order } => order_server(inst, &server, &order).await,
         };
         self.tell(id, told);
     }
 
     /// Tells an answer; says whether the link is open. On a closed one the other side knows.
-    fn tell(&self, id: u64, told: Told) -> bool {
-        self.out.send(Message::Told { id, told }).is_ok()
+    fn tell(&self, id: u64, told: Response) -> bool {
+        self.out.send(Message::Response { id, response: told }).is_ok()
     }
 
     /// Hands out a turn, and takes it back after a while in any case.
-    async fn grant(&self, id: u64, it: TurnWish, progress: &Progress) {
+    async fn grant(&self, id: u64, it: PermitRequest, progress: &Progress) {
         let inst = &self.inst;
         let Some((_, up)) = find(inst, &it.server) else {
-            self.tell(id, Told::NotSent("unknown server".to_owned()));
+            self.tell(id, Response::NotSent("unknown server".to_owned()));
             return;
         };
         if up.crowd(inst.now()) {
@@ -219,14 +221,14 @@
                 progress.send();
                 self.forget(id);
                 // A link that has closed meanwhile needs no turn.
-                if self.tell(id, Told::Turn { turn: id, crowded: up.shared.is_crowded() }) {
+                if self.tell(id, Response::Permit { permit: id, overloaded: up.shared.is_crowded() }) {
                     self.turns.borrow_mut().push((id, permit));
                     sleep(TURN_MOST).await;
                     self.end_turn(id);
                 }
             }
-            Turn::Refused => drop(self.tell(id, Told::Refused)),
-            Turn::Late => drop(self.tell(id, Told::Busy)),
+            Turn::Refused => drop(self.tell(id, Response::Refused)),
+            Turn::Late => drop(self.tell(id, Response::Busy)),
         }
     }
 
@@ -246,21 +248,21 @@
         streams.insert(at, (stream, channel));
     }
 
-    async fn run(&self, it: Run, progress: &Progress) -> Told {
+    async fn run(&self, it: RunRequest, progress: &Progress) -> Response {
         let inst = &self.inst;
         let now = Instant::now();
         let end = now + Duration::from_millis(it.left_ms.into());
         let Some((group, up)) = find(inst, &it.server.id) else {
-            return Told::NotSent("unknown server".to_owned());
+            return Response::NotSent("unknown server".to_owned());
         };
         // An open transaction goes on over the connection that it began on.
         if !it.pinned && up.entry().incarnation != it.server.incarnation {
-            return Told::NotSent("another run of the server is known here".to_owned());
+            return Response::NotSent("another run of the server is known here".to_owned());
         }
         let rank = it.rank.map(|it| Rank { aim: it.aim + inst.now(), ..it });
         let mut channel = match (it.pinned, self.take_stream(it.stream)) {
             (true, Some(it)) => it,
-            (true, None) => return Told::Broken("the transaction is gone".to_owned()),
+            (true, None) => return Response::Broken("the transaction is gone".to_owned()),
             (false, _) => {
                 let until = (now + Duration::from_millis(it.wait_ms.into())).min(end);
                 match reach(inst, &up, it.owner, rank, it.slow, until).await {
@@ -298,7 +300,7 @@
             }
             TxnState::Open | TxnState::Failed => {}
         }
-        Told::Answer { answer, queued: up.is_queued() }
+        Response::Answer { answer, queued: up.is_queued() }
     }
 }
 
@@ -317,53 +319,53 @@
     rank: Option<Rank>,
     slow: Micros,
     until: Instant,
-) -> Result<Direct, Told> {
+) -> Result<Direct, Response> {
     inst.place(up);
     if up.is_lost() {
-        return Err(Told::NotSent("the server isn't reachable from here".to_owned()));
+        return Err(Response::NotSent("the server isn't reachable from here".to_owned()));
     }
     if up.pool.is_pinned() {
-        return Err(Told::Busy);
+        return Err(Response::Busy);
     }
     let priority = rank.map_or(0, |it| it.priority);
     let want = Want { priority, until, values: None, owner: Some(owner) };
     Direct::reach(inst, up, rank, slow, want).await.map_err(|e| match e {
-        NoWay::Refused => Told::Refused,
-        NoWay::Late(_) | NoWay::Full => Told::Busy,
+        NoWay::Refused => Response::Refused,
+        NoWay::Late(_) | NoWay::Full => Response::Busy,
         NoWay::Unreachable(e) => {
             up.failed(inst.now(), e.is_refusal());
-            if e.is_refusal() { Told::Gone } else { Told::NotSent(e.to_string()) }
+            if e.is_refusal() { Response::Gone } else { Response::NotSent(e.to_string()) }
         }
     })
 }
 
 /// What is sent for another instance.
-fn what<'a>(it: &'a Sent, named: Option<&'a Prepared>) -> What<'a> {
+fn what<'a>(it: &'a Command, named: Option<&'a Prepared>) -> What<'a> {
     match it {
-        Sent::Statement { id, text, after } => {
+        Command::Statement { id, text, after } => {
             let text = match named {
                 Some(named) => Text::Execute { name: &named.alias, args: text },
                 None => Text::Plain(text),
             };
             What::Forward(Forward { id, text, after: *after })
         }
-        Sent::Order { order, after } => What::Order(order, *after),
+        Command::Order { order, after } => What::Order(order, *after),
     }
 }
 
-async fn order_server(inst: &Rc<Instance>, server: &ServerRun, order: &Order) -> Told {
-    let Some((group, up)) = find(inst, &server.id) else { return Told::Status(None) };
+async fn order_server(inst: &Rc<Instance>, server: &ServerProcess, order: &Order) -> Response {
+    let Some((group, up)) = find(inst, &server.id) else { return Response::Status(None) };
     inst.place(&up);
     if up.is_lost() || up.entry().incarnation != server.incarnation {
-        return Told::Status(None);
+        return Response::Status(None);
     }
     let status = match order {
         Order::Status => shared_status(inst, &group, &up).await,
         _ => give_direct(inst, &group, &up, order).await,
     };
     match status {
-        None if up.refused().is_some() => Told::Gone,
-        status => Told::Status(status),
+        None if up.refused().is_some() => Response::Gone,
+        status => Response::Status(status),
     }
 }
 
@@ -371,14 +373,14 @@
 async fn shared_status(inst: &Instance, group: &Group, up: &Upstream) -> Option<Status> {
     let since = inst.now();
     up.ask_after(since);
-    let end = Instant::now() + ASK_WAIT;
+    let end = Instant::now() + STATUS_CONN_TIMEOUT;
     loop {
         let changed = group.changed.notified();
         match up.status() {
             Some((sent, status)) if sent >= since => return Some(status),
             _ if Instant::now() >= end || up.refused().is_some_and(|at| at >= since) => return None,
             // At its end the loop looks once more.
-            _ => drop(timeout(ASK_WAIT, changed).await),
+            _ => drop(timeout(STATUS_CONN_TIMEOUT, changed).await),
         }
     }
 }
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -5,16 +5,16 @@
         conn::Values,
         count::Count,
         instance::{Instance, Micros, accept_all},
-        model::{Access, Answer, CallerMessage, Code, Route, Statement, TxnState, Verb},
+        model::{Access, Answer, CallerMessage, ErrorCode, Route, Statement, StatementKind, TxnState},
         organisation::{CallerKey, KeyHash, Owner},
         progress::Progress,
-        settings::{ROTATION_LIMIT, SESSION_NAMES},
+        settings::{MAX_SESSION_NAMES, UNREADY_DELAY},
         statement::{self, Work},
         txn::Txn,
     },
     bytes::{Bytes, BytesMut},
     pondtrack_core::retry_after::RetryAfter,
-    pondtrack_proto::{Mark, Name},
+    pondtrack_proto::{LogPosition, Name},
     serde::{Deserialize, Serialize},
     socket2::{SockRef, TcpKeepalive},
     std::{future, io, rc::Rc, time::Duration},
@@ -67,7 +67,7 @@
     /// Its named statements, sorted by name.
     pub prepared: Vec<Prepared>,
     /// Its latest acknowledged commit, and when that was.
-    pub mark: Option<(Mark, Micros)>,
+    pub mark: Option<(LogPosition, Micros)>,
     /// Its transaction.
     pub txn: Txn,
     /// How far its statement has come.
@@ -81,7 +81,7 @@
 
 async fn serve(inst: Rc<Instance>, stream: TcpStream) {
     inst.sessions.set(inst.sessions.get() + 1);
-    inst.counters.one(Count::Sessions);
+    inst.counters.increment(Count::Sessions);
     // A caller that goes away is no event worth a line.
     if let Err(e) = Link::new(inst.clone(), stream).run().await {
         log::debug!(step = "session"; "{e}");
@@ -128,10 +128,10 @@
                     None => break,
                 },
                 Next::Message(CallerMessage::Malformed(why)) => {
-                    Answer::error(Code::Malformed, why, session.txn.state())
+                    Answer::error(ErrorCode::Malformed, why, session.txn.state())
                 }
                 Next::Message(CallerMessage::Open { .. }) => {
-                    Answer::error(Code::Malformed, "the session is open already", session.txn.state())
+                    Answer::error(ErrorCode::Malformed, "the session is open already", session.txn.state())
                 }
                 Next::Idle => {
                     session.txn.lose("it was idle for too long");
@@ -154,24 +154,26 @@
             Some(CallerMessage::Open { database, key }) => match self.admit(&database, &key) {
                 Ok(key) => {
                     self.out.clear();
-                    self.inst.edge.dialect.welcome(&mut self.out);
+                    self.inst.adapters.protocol.encode_welcome(&mut self.out);
                     self.flush().await?;
                     return Ok(Some(Session::new(self.inst.clone(), database, key)));
                 }
                 Err(it) => it,
             },
-            Some(_) => Answer::error(Code::Malformed, "a session begins with its database", TxnState::Idle),
+            Some(_) => {
+                Answer::error(ErrorCode::Malformed, "a session begins with its database", TxnState::Idle)
+            }
             None => return Ok(None),
         };
         self.out.clear();
-        self.inst.edge.dialect.refuse(&refusal, &mut self.out);
+        self.inst.adapters.protocol.encode_refusal(&refusal, &mut self.out);
         self.flush().await?;
         Ok(None)
     }
 
     /// Whether a caller may open a session, and with which key; else what it is told.
     fn admit(&self, database: &Name, key: &CallerKey) -> Result<KeyHash, Answer> {
-        let Some(desired) = self.inst.desired() else {
+        let Some(desired) = self.inst.config() else {
             return Err(statement::busy("no configuration yet", TxnState::Idle));
         };
         let version = desired.version;
@@ -179,14 +181,14 @@
             if self.inst.may_log() {
                 log::info!(database = database.as_str(), version; "no such database");
             }
-            return Err(Answer::error(Code::NoDatabase, "no such database", TxnState::Idle));
+            return Err(Answer::error(ErrorCode::NoDatabase, "no such database", TxnState::Idle));
         };
         if !self.inst.trusts_keys() {
             return Err(untrusted());
         }
         let key = key.hash();
-        if desired.owner(&key, route).is_none() {
-            self.inst.counters.one(Count::Denied);
+        if desired.owner_of(&key, route).is_none() {
+            self.inst.counters.increment(Count::Denied);
             if self.inst.may_log() {
                 log::info!(database = database.as_str(), version; "the caller's key is nobody's");
             }
@@ -197,7 +199,7 @@
 
     async fn next(&mut self, open: bool) -> io::Result<Next> {
         let inst = self.inst.clone();
-        let idle = inst.desired().map(|it| it.txn_idle).filter(|_| open);
+        let idle = inst.config().map(|it| it.txn_idle).filter(|_| open);
         tokio::select! {
             it = self.message() => Ok(it?.map_or(Next::Closed, Next::Message)),
             () = or_never(idle) => Ok(Next::Idle),
@@ -224,7 +226,7 @@
         };
         // Another instance that gave it up has it refused.
         if progress.is_untried() {
-            self.inst.counters.one(Count::LeftWaiting);
+            self.inst.counters.increment(Count::CallersLeft);
         }
         answer
     }
@@ -241,7 +243,7 @@
             }
             match self.read().await {
                 Err(_) => return,
-                Ok(0) if self.inst.desired().is_some_and(|it| it.is_limited()) => return,
+                Ok(0) if self.inst.config().is_some_and(|it| it.is_limited()) => return,
                 Ok(0) => return future::pending().await,
                 Ok(_) => {}
             }
@@ -258,13 +260,13 @@
     /// The caller's next message; none when it has closed.
     async fn message(&mut self) -> io::Result<Option<CallerMessage>> {
         loop {
-            match self.inst.edge.dialect.caller(&mut self.buf) {
+            match self.inst.adapters.protocol.decode_caller(&mut self.buf) {
                 Ok(Some(it)) => return Ok(Some(it)),
                 Ok(None) => {}
                 Err(e) => {
-                    let answer = Answer::error(Code::TooLarge, e.reason, TxnState::Idle);
+                    let answer = Answer::error(ErrorCode::TooLarge, e.reason, TxnState::Idle);
                     self.out.clear();
-                    self.inst.edge.dialect.refuse(&answer, &mut self.out);
+                    self.inst.adapters.protocol.encode_refusal(&answer, &mut self.out);
                     self.flush().await?;
                     return Ok(None);
                 }
@@ -277,7 +279,7 @@
 
     async fn reply(&mut self, answer: &Answer) -> io::Result<()> {
         self.out.clear();
-        self.inst.edge.dialect.reply(answer, &mut self.out);
+        self.inst.adapters.protocol.encode_answer(answer, &mut self.out);
         self.flush().await
     }
 
@@ -306,7 +308,7 @@
             None => left.await,
         }
     };
-    sleep_until(since + if open { inst.bounds.get().grace / 2 } else { ROTATION_LIMIT }).await;
+    sleep_until(since + if open { inst.bounds.get().grace / 2 } else { UNREADY_DELAY }).await;
 }
 
 impl Session {
@@ -327,35 +329,45 @@
     pub async fn answer(&mut self, it: Statement) -> Answer {
         let arrived = Instant::now();
         let answer = self.perform(&it, arrived).await;
-        self.inst.counters.statement_time(arrived.elapsed());
-        if let Some(code) = answer.code() {
+        self.inst.counters.record_statement(arrived.elapsed());
+        if let Some(code) = answer.error_code() {
             self.tell(&it, &answer, code, arrived);
         }
         answer
     }
 
     async fn perform(&mut self, it: &Statement, arrived: Instant) -> Answer {
-        if self.txn.state() == TxnState::Failed && !matches!(it.verb, Verb::Rollback | Verb::Commit) {
-            return Answer::error(Code::Malformed, "the transaction has failed", TxnState::Failed);
+        if self.txn.state() == TxnState::Failed
+            && !matches!(it.verb, StatementKind::Rollback | StatementKind::Commit)
+        {
+            return Answer::error(ErrorCode::Malformed, "the transaction has failed", TxnState::Failed);
         }
         let is_owner = |it: &Owner| self.owner().as_ref() == Some(it) && self.inst.trusts_keys();
         if self.txn.owner().is_some_and(|it| !is_owner(it)) {
             self.txn.lose("its caller's key is another's or nobody's, or may be by now");
         }
-        if self.inst.desired().is_some_and(|desired| it.text.len() > desired.message_bytes) {
-            return Answer::error(Code::TooLarge, "larger than the configuration allows", self.txn.state());
+        if self.inst.config().is_some_and(|desired| it.text.len() > desired.message_bytes) {
+            return Answer::error(
+                ErrorCode::TooLarge,
+                "larger than the configuration allows",
+                self.txn.state(),
+            );
         }
         match &it.verb {
-            Verb::Set { name, value } => self.set(name, value),
-            Verb::Prepare { name, access, shape } => self.prepare(name, *access, shape),
-            Verb::Deallocate { name } => self.deallocate(name),
-            Verb::Malformed => Answer::error(Code::Malformed, "not a statement", self.txn.state()),
-            Verb::Execute { name, .. } => match self.find(name).cloned() {
+            StatementKind::Set { name, value } => self.set(name, value),
+            StatementKind::Prepare { name, access, shape } => self.prepare(name, *access, shape),
+            StatementKind::Deallocate { name } => self.deallocate(name),
+            StatementKind::Malformed => {
+                Answer::error(ErrorCode::Malformed, "not a statement", self.txn.state())
+            }
+            StatementKind::Execute { name, .. } => match self.find(name).cloned() {
                 Some(known) => self.run(it, known.access, Some(known), arrived).await,
-                None => Answer::error(Code::NoStatement, "no such named statement", self.txn.state()),
+                None => Answer::error(ErrorCode::NoStatement, "no such named statement", self.txn.state()),
             },
-            Verb::Run(access) => self.run(it, *access, None, arrived).await,
-            Verb::Begin(_) | Verb::Commit | Verb::Rollback => self.bound(it, arrived).await,
+            StatementKind::Run(access) => self.run(it, *access, None, arrived).await,
+            StatementKind::Begin(_) | StatementKind::Commit | StatementKind::Rollback => {
+                self.bound(it, arrived).await
+            }
         }
     }
 
@@ -388,7 +400,7 @@
     /// Begins or ends a transaction.
     async fn bound(&mut self, it: &Statement, arrived: Instant) -> Answer {
         match (&it.verb, self.txn.is_open()) {
-            (Verb::Begin(access), false) => {
+            (StatementKind::Begin(access), false) => {
                 self.txn = Txn::None;
                 let work = match self.work(it, None, arrived) {
                     Ok(it) => it,
@@ -399,11 +411,11 @@
                 }
                 work.begin(self, *access).await
             }
-            (Verb::Begin(_), true) => {
-                Answer::error(Code::Malformed, "a transaction is open already", self.txn.state())
+            (StatementKind::Begin(_), true) => {
+                Answer::error(ErrorCode::Malformed, "a transaction is open already", self.txn.state())
             }
-            (Verb::Rollback, true) => self.roll_back().await,
-            (Verb::Rollback, false) => {
+            (StatementKind::Rollback, true) => self.roll_back().await,
+            (StatementKind::Rollback, false) => {
                 self.txn = Txn::None;
                 Answer::done(TxnState::Idle)
             }
@@ -415,7 +427,7 @@
                 }
             },
             (_, false) if self.txn.is_lost() => self.txn.report_lost(),
-            (_, false) => Answer::error(Code::Malformed, "no transaction is open", TxnState::Idle),
+            (_, false) => Answer::error(ErrorCode::Malformed, "no transaction is open", TxnState::Idle),
         }
     }
 
@@ -432,14 +444,14 @@
         named: Option<Prepared>,
         arrived: Instant,
     ) -> Result<Work<'a>, Answer> {
-        let route = self
-            .route()
-            .ok_or_else(|| Answer::error(Code::NoDatabase, "the database was removed", TxnState::Idle))?;
+        let route = self.route().ok_or_else(|| {
+            Answer::error(ErrorCode::NoDatabase, "the database was removed", TxnState::Idle)
+        })?;
         if !self.inst.trusts_keys() {
             return Err(untrusted());
         }
         let Some(owner) = self.owner() else {
-            self.inst.counters.one(Count::Denied);
+            self.inst.counters.increment(Count::Denied);
             return Err(denied());
         };
         Ok(Work::new(self.inst.clone(), route, owner, it, named, arrived, self.progress.clone()))
@@ -449,18 +461,18 @@
     fn route(&self) -> Option<Rc<Route>> {
         match self.txn.route() {
             Some(it) => Some(it),
-            None => Some(Rc::new(self.inst.desired()?.route(&self.database)?.clone())),
+            None => Some(Rc::new(self.inst.config()?.route(&self.database)?.clone())),
         }
     }
 
     /// Whose its statements are now; none where its key allows none.
     fn owner(&self) -> Option<Owner> {
-        self.inst.desired()?.owner(&self.key, &*self.route()?)
+        self.inst.config()?.owner_of(&self.key, &*self.route()?)
     }
 
     fn set(&mut self, name: &Name, value: &Name) -> Answer {
-        if self.values.len() >= SESSION_NAMES {
-            return Answer::error(Code::TooLarge, "too many session values", self.txn.state());
+        if self.values.len() >= MAX_SESSION_NAMES {
+            return Answer::error(ErrorCode::TooLarge, "too many session values", self.txn.state());
         }
         let mut values = self.values.to_vec();
         match values.binary_search_by(|it| it.0.cmp(name)) {
@@ -477,8 +489,8 @@
     }
 
     fn prepare(&mut self, name: &Name, access: Access, shape: &Name) -> Answer {
-        if self.prepared.len() >= SESSION_NAMES {
-            return Answer::error(Code::TooLarge, "too many named statements", self.txn.state());
+        if self.prepared.len() >= MAX_SESSION_NAMES {
+            return Answer::error(ErrorCode::TooLarge, "too many named statements", self.txn.state());
         }
         let it = Prepared { name: name.clone(), access, shape: shape.clone(), alias: alias(access, shape) };
         match self.prepared.binary_search_by(|it| it.name.cmp(name)) {
@@ -491,25 +503,27 @@
     fn deallocate(&mut self, name: &Name) -> Answer {
         match self.prepared.binary_search_by(|it| it.name.cmp(name)) {
             Ok(at) => drop(self.prepared.remove(at)),
-            Err(_) => return Answer::error(Code::NoStatement, "no such named statement", self.txn.state()),
+            Err(_) => {
+                return Answer::error(ErrorCode::NoStatement, "no such named statement", self.txn.state());
+            }
         }
         Answer::done(self.txn.state())
     }
 
     /// One line for a statement that has no result; bounded under load.
-    fn tell(&self, it: &Statement, answer: &Answer, code: Code, arrived: Instant) {
+    fn tell(&self, it: &Statement, answer: &Answer, code: ErrorCode, arrived: Instant) {
         let counted = match code {
-            Code::Unknown | Code::Timeout => Count::Unknown,
+            ErrorCode::Unknown | ErrorCode::Timeout => Count::Unknown,
             _ => Count::NotRun,
         };
-        self.inst.counters.one(counted);
+        self.inst.counters.increment(counted);
         if !self.inst.may_log() {
             return;
         }
         let id = String::from_utf8_lossy(&it.id);
         let why = match &answer.end {
-            crate::model::End::Error { text, .. } => String::from_utf8_lossy(text).into_owned(),
-            crate::model::End::Done(_) => String::new(),
+            crate::model::Completion::Error { text, .. } => String::from_utf8_lossy(text).into_owned(),
+            crate::model::Completion::Done(_) => String::new(),
         };
         let took_ms = arrived.elapsed().as_millis() as u64;
         let owner = self.owner().map_or_else(|| "nobody".to_owned(), |it| it.to_string());
@@ -520,7 +534,7 @@
 
 /// What a caller is told whose key is nobody's.
 fn denied() -> Answer {
-    Answer::error(Code::NoAuth, "the key is nobody's", TxnState::Idle)
+    Answer::error(ErrorCode::NoAuth, "the key is nobody's", TxnState::Idle)
 }
 
 /// What a caller is told where its key may have been taken away.
@@ -537,7 +551,7 @@
             format!("the organisation has used its quota; no room in time, come back in {ms} ms")
         }
     };
-    Answer::error(Code::Busy, text(why), TxnState::Idle)
+    Answer::error(ErrorCode::Busy, text(why), TxnState::Idle)
 }
 
 fn alias(access: Access, shape: &Name) -> Name {
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -7,13 +7,13 @@
         count::Count,
         group::Group,
         instance::{Instance, Micros, micros},
-        model::{Answer, Code, ReadPolicy, Route, Statement, TxnState, Verb},
+        model::{Answer, ErrorCode, ReadPolicy, Route, Statement, StatementKind, TxnState},
         organisation::Owner,
         pool::Want,
         ports::{Forward, Text},
         progress::Progress,
         session::{Prepared, Session, text},
-        settings::{AGE_MARGIN, COME_BACK_MS, PATIENCE, SLOW_SHARE, TXN_STATEMENTS},
+        settings::{LIVENESS_CHECK_DELAY, RETRY_AFTER_MS, SLOW_FRACTION, STALENESS_MARGIN, TXN_STATEMENTS},
         upstream::{Exchange, Upstream},
     },
     bytes::Bytes,
@@ -22,7 +22,7 @@
         retry::Backoff,
         turn::{Rank, Share},
     },
-    pondtrack_proto::Mark,
+    pondtrack_proto::LogPosition,
     std::{cell::Cell, rc::Rc, time::Duration},
     tokio::time::{Instant, sleep_until, timeout},
     xxhash_rust::xxh3::xxh3_64,
@@ -56,7 +56,7 @@
 pub struct Parcel {
     id: Bytes,
     text: Bytes,
-    after: Option<Mark>,
+    after: Option<LogPosition>,
     values: Values,
     named: Option<Prepared>,
     rank: Rank,
@@ -96,10 +96,10 @@
         };
         let work = channel.run(inst, sending);
         tokio::pin!(work);
-        match timeout(PATIENCE, &mut work).await {
+        match timeout(LIVENESS_CHECK_DELAY, &mut work).await {
             Ok(it) => it,
             Err(_) => {
-                up.ask_after(inst.now().saturating_sub(micros(PATIENCE)));
+                up.ask_after(inst.now().saturating_sub(micros(LIVENESS_CHECK_DELAY)));
                 work.await
             }
         }
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Need {
     /// The position, unless only the primary will do.
-    pub mark: Option<Mark>,
+    pub mark: Option<LogPosition>,
     /// Since when the primary has had it.
     pub since: Micros,
 }
@@ -122,9 +122,9 @@
             return;
         }
         let age = sent.saturating_sub(self.since);
-        match answer.code() {
+        match answer.error_code() {
             None => up.holds(age, true, now),
-            Some(Code::Lagging) => up.holds(age, false, now),
+            Some(ErrorCode::Lagging) => up.holds(age, false, now),
             Some(_) => {}
         }
     }
@@ -146,7 +146,7 @@
 
 /// The refusal of a statement that did not run.
 pub fn busy(why: &str, txn: TxnState) -> Answer {
-    Answer::error(Code::Busy, text(format!("{why}; come back in {COME_BACK_MS} ms")), txn)
+    Answer::error(ErrorCode::Busy, text(format!("{why}; come back in {RETRY_AFTER_MS} ms")), txn)
 }
 
 impl<'a> Work<'a> {
@@ -164,7 +164,7 @@
         let end = arrived + route.timeout;
         let allowance =
             Allowance { arrived: since, objective: micros(route.objective), limit: micros(route.timeout) };
-        let limited = inst.desired().is_some_and(|it| it.is_limited());
+        let limited = inst.config().is_some_and(|it| it.is_limited());
         let rule = if limited { Rule::Objective } else { Rule::Limit };
         let budget = Cell::new(Budget::new(allowance, rule));
         Work { inst, route, it, owner, named, arrived, since, end, budget, progress }
@@ -172,9 +172,9 @@
 
     /// What the read has to show.
     pub async fn need(&self, session: &Session, group: &Group) -> Result<Need, Miss> {
-        let Some(age) = self.route.policy.age() else { return Ok(Need { mark: None, since: 0 }) };
+        let Some(age) = self.route.policy.max_age() else { return Ok(Need { mark: None, since: 0 }) };
         let needed =
-            group.needed(&self.inst, age.saturating_sub(AGE_MARGIN), self.until(Wait::Evidence)).await;
+            group.needed(&self.inst, age.saturating_sub(STALENESS_MARGIN), self.until(Wait::Evidence)).await;
         let (since, mark) = needed.ok_or_else(|| self.late(Wait::Evidence))?;
         let own = session.mark.filter(|_| matches!(self.route.policy, ReadPolicy::OwnWrites(_)));
         match own {
@@ -250,10 +250,10 @@
     fn late(&self, wait: Wait) -> Miss {
         let (count, why) = match wait {
             Wait::Quota => (Count::OverLimit, "the organisation has used its quota"),
-            Wait::Evidence => (Count::HeldEvidence, "the group's state isn't known"),
-            Wait::Primary => (Count::HeldPrimary, "the group has no primary"),
-            Wait::Turn => (Count::HeldTurn, "too much to do"),
-            Wait::Connection => (Count::HeldConnection, "no connection is free"),
+            Wait::Evidence => (Count::NoEvidence, "the group's state isn't known"),
+            Wait::Primary => (Count::NoPrimary, "the group has no primary"),
+            Wait::Turn => (Count::NoPermit, "too much to do"),
+            Wait::Connection => (Count::NoConnection, "no connection is free"),
         };
         Miss::Late(why, Some(count))
     }
@@ -272,7 +272,7 @@
     /// Its caller is told that it has waited in vain.
     pub fn count_held(&self, held: Option<Count>) {
         if let Some(it) = held {
-            self.inst.counters.one(it);
+            self.inst.counters.increment(it);
         }
     }
 
@@ -283,7 +283,7 @@
 
     /// Whose share of a server it uses, where callers are told apart.
     fn share(&self) -> Share {
-        let Some(desired) = self.inst.desired() else { return Share::default() };
+        let Some(desired) = self.inst.config() else { return Share::default() };
         desired.organisations.as_ref().map(|it| it.share(&self.owner)).unwrap_or_default()
     }
 
@@ -295,7 +295,7 @@
             aim: self.since + micros(self.route.objective),
             kind: xxh3_64(self.route.database.as_bytes()),
             cost: self.inst.cost(&self.route.database),
-            statements: if matches!(self.it.verb, Verb::Begin(_)) { TXN_STATEMENTS } else { 1 },
+            statements: if matches!(self.it.verb, StatementKind::Begin(_)) { TXN_STATEMENTS } else { 1 },
         }
     }
 
@@ -306,9 +306,9 @@
     }
 
     /// The statement with all that goes along.
-    pub fn parcel(&self, session: &Session, after: Option<Mark>) -> Parcel {
+    pub fn parcel(&self, session: &Session, after: Option<LogPosition>) -> Parcel {
         let text = match &self.it.verb {
-            Verb::Execute { args, .. } if self.named.is_some() => args,
+            StatementKind::Execute { args, .. } if self.named.is_some() => args,
             _ => &self.it.text,
         };
         Parcel {
@@ -326,21 +326,21 @@
 
     /// A statement that takes longer than this is slow.
     fn slow(&self) -> Micros {
-        micros(self.route.objective.mul_f64(SLOW_SHARE))
+        micros(self.route.objective.mul_f64(SLOW_FRACTION))
     }
 
     /// Draws conclusions from an answer.
     pub fn judge(&self, group: &Group, up: &Upstream, answer: &Answer, sent: Micros, channel: &Channel) {
         let direct = channel.via().is_none();
         up.judge(&self.inst, group, answer, Exchange { sent, slow: self.slow(), direct });
-        match answer.code() {
+        match answer.error_code() {
             None => {
-                self.inst.counters.one(Count::Statements);
+                self.inst.counters.increment(Count::Statements);
                 let took = self.inst.now() - sent;
                 self.inst.spent(&self.route.database, took, channel.is_queued());
             }
-            Some(Code::Busy) => self.inst.counters.one(Count::ServerBusy),
-            Some(Code::Lagging) => self.inst.counters.one(Count::ServerLagging),
+            Some(ErrorCode::Busy) => self.inst.counters.increment(Count::ServerBusy),
+            Some(ErrorCode::Lagging) => self.inst.counters.increment(Count::ServerLagging),
             Some(_) => {}
         }
     }
@@ -350,7 +350,7 @@
         let Some(mark) = answer.mark else { return answer };
         let began = Instant::now();
         let held = group.replicated(&self.inst, mark.term, mark.lsn, self.end).await;
-        self.inst.counters.gate_time(began.elapsed());
+        self.inst.counters.record_replication_wait(began.elapsed());
         if !held {
             return unknown("the commit isn't known to last");
         }
@@ -367,5 +367,5 @@
 
 /// The answer where nothing is known.
 pub fn unknown(why: &str) -> Answer {
-    Answer::error(Code::Unknown, text(why), TxnState::Idle)
+    Answer::error(ErrorCode::Unknown, text(why), TxnState::Idle)
 }
--- a/crates/engine/src/takeover/change.rs
+++ b/crates/engine/src/takeover/change.rs
@@ -13,7 +13,7 @@
     },
     futures::future::join_all,
     pondtrack_core::leader::Leader,
-    pondtrack_proto::{Lsn, Mark, Name, Term},
+    pondtrack_proto::{LogPosition, Lsn, Name, Term},
     std::{rc::Rc, time::Duration},
     tokio::time::{Instant, sleep},
 };
@@ -96,7 +96,7 @@
         if self.group.led_by().is_some_and(|it| !heard(&it)) {
             return Err("a replica came back with nothing, and only the primary may hold what it had");
         }
-        self.inst.counters.one(Count::Losses);
+        self.inst.counters.increment(Count::Losses);
         let (group, term) = (self.group.name.as_str(), self.term.0);
         log::error!(group, server = unrecovered.as_str(), term; "acknowledged writes may be lost: the server came back with nothing, and the primary is gone");
         Ok(())
@@ -183,7 +183,11 @@
     }
 
     /// The stopped replica with the longest log.
-    fn longest(&self, rest: &[&Rc<Upstream>], answers: &[Option<Status>]) -> Option<(Rc<Upstream>, Mark)> {
+    fn longest(
+        &self,
+        rest: &[&Rc<Upstream>],
+        answers: &[Option<Status>],
+    ) -> Option<(Rc<Upstream>, LogPosition)> {
         let stopped = rest.iter().zip(answers);
         let stopped = stopped.filter_map(|(it, status)| Some(((*it).clone(), status.as_ref()?.received)));
         stopped.max_by_key(|it| it.1)
@@ -196,7 +200,7 @@
         old: Option<&Rc<Upstream>>,
         target: &Upstream,
         next: Term,
-    ) -> Result<Option<(Rc<Upstream>, Mark)>, Failed> {
+    ) -> Result<Option<(Rc<Upstream>, LogPosition)>, Failed> {
         const NEITHER: Failed = "neither all replicas nor the primary can be stopped";
         let old = old.ok_or(NEITHER)?;
         let (before, own) = tokio::join!(self.give(old, Order::Status), self.give(target, Order::Status));
@@ -218,10 +222,10 @@
             if self.group.forgotten() != self.forgotten {
                 return Err("a server that was asked has forgotten what it held");
             }
-            self.inst.counters.one(Count::Promotions);
+            self.inst.counters.increment(Count::Promotions);
             let holder = self.inst.settings.name.clone();
             let order =
-                self.inst.edge.promoter.promote(self.group.name.clone(), entry.id.clone(), holder, token);
+                self.inst.adapters.promoter.promote(self.group.name.clone(), entry.id.clone(), holder, token);
             let ordered = order.await;
             log::info!(group = self.group.name.as_str(), server = entry.id.as_str(), token, outcome:? = ordered; "promotion ordered");
             match ordered {
--- a/crates/engine/src/turnstile.rs
+++ b/crates/engine/src/turnstile.rs
@@ -196,7 +196,7 @@
                 drop(turns);
                 of.pass(now);
             }
-            Held::There { link, turn } => link.tell(Message::EndTurn { turn: *turn }),
+            Held::There { link, turn } => link.tell(Message::ReleasePermit { permit: *turn }),
         }
     }
 }
--- a/crates/engine/src/txn.rs
+++ b/crates/engine/src/txn.rs
@@ -6,10 +6,10 @@
         count::Count,
         group::Group,
         instance::{Instance, Micros},
-        model::{Access, Answer, Code, Order, ReadPolicy, Route, TxnState},
+        model::{Access, Answer, ErrorCode, Order, ReadPolicy, Route, TxnState},
         organisation::Owner,
         session::{Session, text},
-        settings::{ORDER_LIMIT, RETRY_PAUSE, TRIES},
+        settings::{MAX_ATTEMPTS, ORDER_TIMEOUT, RETRY_BACKOFF_MS},
         statement::{NO_TIME, UNCONFIRMED, Work, busy, unknown},
         upstream::Upstream,
     },
@@ -87,7 +87,11 @@
             Txn::Lost(why) => why,
             Txn::None | Txn::Open(_) => "it is gone",
         };
-        Answer::error(Code::Aborted, text(format!("the transaction was rolled back: {why}")), TxnState::Idle)
+        Answer::error(
+            ErrorCode::Aborted,
+            text(format!("the transaction was rolled back: {why}")),
+            TxnState::Idle,
+        )
     }
 
     /// Rolls it back for the caller.
@@ -101,14 +105,14 @@
         if let Txn::Open(it) = std::mem::replace(self, Txn::None) {
             let OpenTxn { inst, mut channel, .. } = *it;
             let what = What::Order(&Order::Rollback, None);
-            let end = Instant::now() + ORDER_LIMIT;
+            let end = Instant::now() + ORDER_TIMEOUT;
             let sending = Sending {
                 values: None,
                 named: None,
                 what,
                 rank: None,
                 slow: Micros::MAX,
-                overdue: ORDER_LIMIT,
+                overdue: ORDER_TIMEOUT,
                 end,
                 progress: None,
             };
@@ -129,9 +133,9 @@
         let Some(group) = self.inst.group(&self.route.group) else {
             return busy("the group has no servers", TxnState::Idle);
         };
-        let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
+        let mut backoff = Backoff::new(RETRY_BACKOFF_MS.0, RETRY_BACKOFF_MS.1);
         let mut tried = Vec::new();
-        while tried.len() < TRIES && Instant::now() < self.end {
+        while tried.len() < MAX_ATTEMPTS && Instant::now() < self.end {
             if !tried.is_empty() && self.gives_up(&group) {
                 break;
             }
@@ -143,7 +147,7 @@
                 Err(Some(answer)) => return answer,
                 Err(None) => self.pause(&mut backoff).await,
             }
-            self.inst.counters.one(Count::Retries);
+            self.inst.counters.increment(Count::Retries);
         }
         busy("no server takes the transaction", TxnState::Idle)
     }
@@ -180,13 +184,13 @@
         };
         self.judge(group, &up, &answer, sent, &channel);
         need.learn(&up, &answer, sent, self.inst.now());
-        match answer.code() {
+        match answer.error_code() {
             None => {}
             Some(code) => {
                 if answer.txn == TxnState::Idle {
                     channel.give_back();
                 }
-                return Err((!code.not_run() && code != Code::Failed).then_some(answer));
+                return Err((!code.is_not_run() && code != ErrorCode::Failed).then_some(answer));
             }
         }
         if self.route.policy == ReadPolicy::Latest
@@ -213,7 +217,7 @@
     pub async fn in_transaction(&self, session: &mut Session, access: Access) -> Answer {
         let parcel = self.parcel(session, None).pinned();
         let Txn::Open(txn) = &mut session.txn else { return busy("no transaction", TxnState::Idle) };
-        let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
+        let mut backoff = Backoff::new(RETRY_BACKOFF_MS.0, RETRY_BACKOFF_MS.1);
         loop {
             let sent = self.inst.now();
             let answer = match parcel.run(&self.inst, &txn.up, &mut txn.channel).await {
@@ -226,10 +230,10 @@
             };
             self.judge(&txn.group, &txn.up, &answer, sent, &txn.channel);
             // Provably not run, and the transaction goes on.
-            let again =
-                matches!(answer.code(), Some(Code::Busy | Code::NoStatement)) && answer.txn == TxnState::Open;
+            let again = matches!(answer.error_code(), Some(ErrorCode::Busy | ErrorCode::NoStatement))
+                && answer.txn == TxnState::Open;
             if again && Instant::now() < self.end {
-                if answer.code() == Some(Code::NoStatement) {
+                if answer.error_code() == Some(ErrorCode::NoStatement) {
                     txn.channel.forget_prepared();
                 }
                 self.pause(&mut backoff).await;
@@ -253,11 +257,11 @@
         if txn.state == TxnState::Failed {
             session.txn = Txn::Open(txn);
             session.roll_back().await;
-            return Answer::error(Code::Aborted, "the transaction had failed", TxnState::Idle);
+            return Answer::error(ErrorCode::Aborted, "the transaction had failed", TxnState::Idle);
         }
         let OpenTxn { group, up, mut channel, wrote, .. } = *txn;
         let parcel = self.parcel(session, None).pinned();
-        let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
+        let mut backoff = Backoff::new(RETRY_BACKOFF_MS.0, RETRY_BACKOFF_MS.1);
         loop {
             let sent = self.inst.now();
             let answer = match parcel.run(&self.inst, &up, &mut channel).await {
@@ -269,7 +273,7 @@
                             unknown("the commit wasn't answered")
                         }
                         _ => Answer::error(
-                            Code::Aborted,
+                            ErrorCode::Aborted,
                             "the commit wasn't sent, or kept nothing",
                             TxnState::Idle,
                         ),
@@ -277,12 +281,14 @@
                 }
             };
             self.judge(&group, &up, &answer, sent, &channel);
-            if answer.code() == Some(Code::Busy) && answer.txn == TxnState::Open && Instant::now() < self.end
+            if answer.error_code() == Some(ErrorCode::Busy)
+                && answer.txn == TxnState::Open
+                && Instant::now() < self.end
             {
                 self.pause(&mut backoff).await;
                 continue;
             }
-            return match answer.code() {
+            return match answer.error_code() {
                 None if answer.txn == TxnState::Idle => {
                     channel.give_back();
                     match wrote {
@@ -291,8 +297,8 @@
                     }
                 }
                 // Dropped, the connection rolls back whatever is open on it.
-                Some(Code::Busy | Code::ReadOnly | Code::NoStatement) => {
-                    Answer::error(Code::Aborted, "the server refused to commit", TxnState::Idle)
+                Some(ErrorCode::Busy | ErrorCode::ReadOnly | ErrorCode::NoStatement) => {
+                    Answer::error(ErrorCode::Aborted, "the server refused to commit", TxnState::Idle)
                 }
                 Some(_) if answer.txn == TxnState::Idle => {
                     channel.give_back();
--- a/crates/engine/src/unreadable.rs
+++ b/crates/engine/src/unreadable.rs
@@ -14,7 +14,7 @@
 
 impl Unreadable {
     /// Notes an object; says whether it is to be told.
-    pub fn note(&mut self, what: Collection, name: &Name) -> bool {
+    pub fn insert(&mut self, what: Collection, name: &Name) -> bool {
         match self.find(what, name) {
             Ok(_) => false,
             Err(_) if self.known.len() >= MOST => false,
@@ -26,7 +26,7 @@
     }
 
     /// An object can be read again.
-    pub fn clear(&mut self, what: Collection, name: &Name) {
+    pub fn remove(&mut self, what: Collection, name: &Name) {
         if let Ok(at) = self.find(what, name) {
             self.known.remove(at);
         }
--- a/crates/engine/src/document.rs
+++ b/crates/engine/src/update.rs
@@ -8,7 +8,7 @@
     crate::{
         instance::Instance,
         message::Member,
-        model::{Desired, GroupSpec, Route, Server},
+        model::{Config, GroupSpec, Route, Server},
         organisation::{Organisation, Organisations},
         peer::Peer,
         ports::Collection,
@@ -27,9 +27,10 @@
 
 /// A collection, or a change of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Document {
+pub enum Update {
     /// The configuration.
-    Desired(Box<DesiredChange>),
+    #[serde(rename = "Desired")]
+    Config(Box<ConfigChange>),
     /// The directory of servers.
     Directory {
         /// The store's revision that it starts from; 0 for the whole.
@@ -47,7 +48,7 @@
 
 /// A change of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DesiredChange {
+pub struct ConfigChange {
     /// The version that it starts from; 0 for the whole.
     pub since: u64,
     /// The version that it leads to.
@@ -70,7 +71,7 @@
 
 /// Why a document isn't taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum DocumentError {
+pub enum UpdateError {
     /// It starts from another version than the one that is known here by now.
     #[snafu(display("it starts from another version than the one known here"))]
     Moved,
@@ -110,7 +111,7 @@
 
 impl History {
     /// A configuration takes the place of another.
-    pub fn note_desired(&self, old: Option<&Desired>, new: &Desired) {
+    pub fn record_config(&self, old: Option<&Config>, new: &Config) {
         self.desired_digest.set(None);
         let (routes, groups) = old.map_or((&[][..], &[][..]), |it| (&it.routes, &it.groups));
         self.routes.borrow_mut().note(new.version, touched(routes, &new.routes, database));
@@ -120,18 +121,18 @@
     }
 
     /// A directory takes the place of another.
-    pub fn note_directory(&self, old: &[Server], new: &[Server], revision: u64) {
+    pub fn record_directory(&self, old: &[Server], new: &[Server], revision: u64) {
         self.directory_digest.set(None);
         self.servers.borrow_mut().note(revision, touched(old, new, server));
     }
 }
 
-impl Document {
+impl Update {
     /// The version of a collection that is known here, if any is.
     pub fn latest(inst: &Instance, what: Collection) -> Option<u64> {
         match what {
-            Collection::Desired => inst.desired().map(|it| it.version),
-            Collection::Servers => inst.revision(what).map(Revision::order),
+            Collection::Config => inst.config().map(|it| it.version),
+            Collection::Servers => inst.revision(what).map(Revision::as_u64),
             Collection::Instances => inst.members().map(|it| members_digest(&it)),
             Collection::Leases | Collection::Leaders => None,
         }
@@ -141,17 +142,17 @@
     /// travel whole.
     pub fn known(inst: &Instance, what: Collection) -> u64 {
         match what {
-            Collection::Desired | Collection::Servers => Document::latest(inst, what).unwrap_or(0),
+            Collection::Config | Collection::Servers => Update::latest(inst, what).unwrap_or(0),
             Collection::Instances | Collection::Leases | Collection::Leaders => 0,
         }
     }
 
     /// What is known here of a collection, for an instance that has it as of `since`; none if nothing newer is known.
-    pub fn build(inst: &Instance, what: Collection, since: u64) -> Option<Document> {
+    pub fn build(inst: &Instance, what: Collection, since: u64) -> Option<Update> {
         match what {
-            Collection::Desired => desired(inst, since).map(|it| Document::Desired(Box::new(it))),
+            Collection::Config => desired(inst, since).map(|it| Update::Config(Box::new(it))),
             Collection::Servers => directory(inst, since),
-            Collection::Instances => inst.members().map(Document::Members),
+            Collection::Instances => inst.members().map(Update::Members),
             Collection::Leases | Collection::Leaders => None,
         }
     }
@@ -161,23 +162,23 @@
     /// # Errors
     ///
     /// If it doesn't fit what is known here.
-    pub fn apply(self, inst: &Rc<Instance>) -> Result<(), DocumentError> {
+    pub fn apply(self, inst: &Rc<Instance>) -> Result<(), UpdateError> {
         match self {
-            Document::Desired(it) => take_desired(inst, *it),
-            Document::Directory { since, revision, servers, digest } => {
-                let known = Document::known(inst, Collection::Servers);
-                if known >= revision.order() && inst.revision(Collection::Servers).is_some() {
+            Update::Config(it) => take_desired(inst, *it),
+            Update::Directory { since, revision, servers, digest } => {
+                let known = Update::known(inst, Collection::Servers);
+                if known >= revision.as_u64() && inst.revision(Collection::Servers).is_some() {
                     return Ok(());
                 }
                 let old = base(since, known, || inst.directory())?;
                 let servers = servers.apply(&old, server);
                 if digest_of(&servers) != digest {
-                    return Err(DocumentError::Differs);
+                    return Err(UpdateError::Differs);
                 }
                 inst.set_directory(servers, revision);
                 Ok(())
             }
-            Document::Members(all) => {
+            Update::Members(all) => {
                 let peer = |it: Member| Peer::new(it.name, it.zone, it.addr).with_capacity(it.capacity);
                 inst.set_peers(all.into_iter().map(peer).collect());
                 Ok(())
@@ -186,13 +187,13 @@
     }
 }
 
-fn organisations(it: &Desired) -> &[Organisation] {
+fn organisations(it: &Config) -> &[Organisation] {
     it.organisations.as_ref().map_or(&[], Organisations::all)
 }
 
-fn desired(inst: &Instance, since: u64) -> Option<DesiredChange> {
-    let it = inst.desired().filter(|it| it.version > since)?;
-    let revision = inst.revision(Collection::Desired)?;
+fn desired(inst: &Instance, since: u64) -> Option<ConfigChange> {
+    let it = inst.config().filter(|it| it.version > since)?;
+    let revision = inst.revision(Collection::Config)?;
     let log = &inst.history;
     let logs = (log.routes.borrow(), log.groups.borrow(), log.organisations.borrow());
     let keys = (logs.0.since(since), logs.1.since(since), logs.2.since(since));
@@ -209,7 +210,7 @@
     let digest =
         kept(&inst.history.desired_digest, it.version, || digest_of(&(&it.routes, &it.groups, known)));
     let (version, txn_idle, message_bytes) = (it.version, it.txn_idle, it.message_bytes);
-    Some(DesiredChange {
+    Some(ConfigChange {
         since,
         version,
         revision,
@@ -222,16 +223,16 @@
     })
 }
 
-fn directory(inst: &Instance, since: u64) -> Option<Document> {
-    let revision = inst.revision(Collection::Servers).filter(|it| it.order() > since)?;
+fn directory(inst: &Instance, since: u64) -> Option<Update> {
+    let revision = inst.revision(Collection::Servers).filter(|it| it.as_u64() > since)?;
     let keys = (since > 0).then(|| inst.history.servers.borrow().since(since)).flatten();
     inst.with_directory(|all| {
-        let digest = kept(&inst.history.directory_digest, revision.order(), || digest_of(&all));
+        let digest = kept(&inst.history.directory_digest, revision.as_u64(), || digest_of(&all));
         let (since, servers) = match keys {
             Some(keys) => (since, Delta::of_keys(keys, all, server)),
             None => (0, Delta::whole(all)),
         };
-        Some(Document::Directory { since, revision, servers, digest })
+        Some(Update::Directory { since, revision, servers, digest })
     })
 }
 
@@ -247,8 +248,8 @@
     }
 }
 
-fn take_desired(inst: &Rc<Instance>, it: DesiredChange) -> Result<(), DocumentError> {
-    let known = inst.desired();
+fn take_desired(inst: &Rc<Instance>, it: ConfigChange) -> Result<(), UpdateError> {
+    let known = inst.config();
     let version = known.as_ref().map_or(0, |it| it.version);
     if version >= it.version {
         return Ok(());
@@ -259,20 +260,20 @@
     let groups = it.groups.apply(old.map_or(&[], |it| &it.groups), group);
     let changed = it.organisations.map(|it| it.apply(old.map_or(&[], organisations), organisation));
     if digest_of(&(&routes, &groups, changed.as_deref().unwrap_or_default())) != it.digest {
-        return Err(DocumentError::Differs);
+        return Err(UpdateError::Differs);
     }
     let organisations = changed.map(Organisations::new);
     let (version, txn_idle, message_bytes) = (it.version, it.txn_idle, it.message_bytes);
-    inst.adopt(Desired { version, routes, groups, organisations, txn_idle, message_bytes }, it.revision);
+    inst.adopt(Config { version, routes, groups, organisations, txn_idle, message_bytes }, it.revision);
     Ok(())
 }
 
 /// What a document that starts from a version is applied to: nothing for the whole, else what is known here.
-fn base<T: Default>(since: u64, known: u64, old: impl FnOnce() -> T) -> Result<T, DocumentError> {
+fn base<T: Default>(since: u64, known: u64, old: impl FnOnce() -> T) -> Result<T, UpdateError> {
     match since {
         0 => Ok(T::default()),
         it if it == known => Ok(old()),
-        _ => Err(DocumentError::Moved),
+        _ => Err(UpdateError::Moved),
     }
 }
 
--- a/crates/engine/src/handout.rs
+++ b/crates/engine/src/upload.rs
@@ -9,10 +9,10 @@
 use {
     crate::{
         count::Count,
-        document::Document,
         instance::{Instance, Micros, micros},
-        message::{Fetch, Part, Told},
+        message::{Chunk, FetchRequest, Response},
         ports::Collection,
+        update::Update,
     },
     bytes::Bytes,
     pondtrack_proto::Name,
@@ -70,7 +70,7 @@
 
 /// What is being handed out, and who has it.
 #[derive(Default)]
-pub struct Handout {
+pub struct Uploads {
     docs: RefCell<Vec<Doc>>,
     transfers: RefCell<Vec<Transfer>>,
     /// The newest version of each collection only.
@@ -82,51 +82,51 @@
 }
 
 /// Answers an instance that wants what is known here of a collection.
-pub async fn answer(inst: &Instance, it: Fetch) -> Told {
-    let handout = &inst.handout;
+pub async fn answer(inst: &Instance, it: FetchRequest) -> Response {
+    let handout = &inst.uploads;
     let told = match it.next {
         Some((at, offset)) => handout.go_on(inst, &it, at, offset as usize),
         None => begin(inst, &it).await,
     };
-    if let Told::Part(part) = &told {
+    if let Response::Chunk(part) = &told {
         inst.counters.add(Count::SpreadBytes, part.bytes.len() as u64);
     }
     told
 }
 
-async fn begin(inst: &Instance, it: &Fetch) -> Told {
-    let handout = &inst.handout;
+async fn begin(inst: &Instance, it: &FetchRequest) -> Response {
+    let handout = &inst.uploads;
     let end = Instant::now() + HOLD;
     loop {
         let Some(doc) = handout.doc(inst, it) else {
-            return Told::NotSent("nothing newer is known here".to_owned());
+            return Response::NotSent("nothing newer is known here".to_owned());
         };
         // Registered before the slots are looked at, so that none is missed.
         let freed = handout.freed.notified();
         if doc.bytes.len() <= FREE_BYTES || handout.take_slot(inst, it, &doc) {
-            return Told::Part(part(&doc, 0));
+            return Response::Chunk(part(&doc, 0));
         }
         if let Some(name) = handout.other(inst, it, &doc) {
-            return Told::Elsewhere(Some(name));
+            return Response::Elsewhere(Some(name));
         }
         if timeout_at(end, freed).await.is_err() {
-            return Told::Elsewhere(None);
+            return Response::Elsewhere(None);
         }
     }
 }
 
-impl Handout {
+impl Uploads {
     /// The document for an instance that has a collection as of a version; none if nothing newer is known here.
-    fn doc(&self, inst: &Instance, it: &Fetch) -> Option<Doc> {
+    fn doc(&self, inst: &Instance, it: &FetchRequest) -> Option<Doc> {
         let (what, since) = (it.what, it.since);
-        let at = Document::latest(inst, what)?;
+        let at = Update::latest(inst, what)?;
         let mut docs = self.docs.borrow_mut();
         docs.retain(|it| it.what != what || it.at == at);
         let kept = docs.iter().find(|it| (it.what, it.since, it.at) == (what, since, at));
         if let Some(doc) = kept {
             return Some(doc.clone());
         }
-        let doc = Document::build(inst, what, since)?;
+        let doc = Update::build(inst, what, since)?;
         let bytes = postcard::to_stdvec(&doc).expect("documents are plain data, which always encodes").into();
         let doc = Doc { what, since, at, bytes };
         docs.truncate(DOCS - 1);
@@ -135,7 +135,7 @@
     }
 
     /// Takes a slot for a document of more than one part, if there is one.
-    fn take_slot(&self, inst: &Instance, it: &Fetch, doc: &Doc) -> bool {
+    fn take_slot(&self, inst: &Instance, it: &FetchRequest, doc: &Doc) -> bool {
         let now = inst.now();
         let mut transfers = self.transfers.borrow_mut();
         transfers.retain(|old| now.saturating_sub(old.asked) < micros(SLOT_LIMIT) && !old.is_of(it));
@@ -151,11 +151,11 @@
     }
 
     /// The next part of a document that was begun.
-    fn go_on(&self, inst: &Instance, it: &Fetch, at: u64, offset: usize) -> Told {
+    fn go_on(&self, inst: &Instance, it: &FetchRequest, at: u64, offset: usize) -> Response {
         let mut transfers = self.transfers.borrow_mut();
         let known = transfers.iter_mut().find(|old| old.is_of(it) && old.doc.at == at);
         let Some(transfer) = known.filter(|it| offset < it.doc.bytes.len()) else {
-            return Told::NotSent("the transfer was given up here".to_owned());
+            return Response::NotSent("the transfer was given up here".to_owned());
         };
         transfer.asked = inst.now();
         let part = part(&transfer.doc, offset);
@@ -164,11 +164,11 @@
         if last {
             self.finish(inst, it);
         }
-        Told::Part(part)
+        Response::Chunk(part)
     }
 
     /// Frees the slot of a transfer whose last part has gone out.
-    fn finish(&self, inst: &Instance, it: &Fetch) {
+    fn finish(&self, inst: &Instance, it: &FetchRequest) {
         let mut transfers = self.transfers.borrow_mut();
         let Some(at) = transfers.iter().position(|old| old.is_of(it)) else { return };
         let Transfer { to, doc, .. } = transfers.remove(at);
@@ -179,7 +179,7 @@
     }
 
     /// An instance that has the document from here: in the asking one's availability zone, if there is one.
-    fn other(&self, inst: &Instance, it: &Fetch, doc: &Doc) -> Option<Name> {
+    fn other(&self, inst: &Instance, it: &FetchRequest, doc: &Doc) -> Option<Name> {
         let given = self.given.borrow();
         let has = given.iter().filter(|old| (old.what, old.at) == (doc.what, doc.at) && old.to != it.from);
         let own = zone(inst, &it.from);
@@ -197,14 +197,14 @@
 
 impl Transfer {
     /// Whether a question is about it.
-    fn is_of(&self, it: &Fetch) -> bool {
+    fn is_of(&self, it: &FetchRequest) -> bool {
         self.to == it.from && self.doc.what == it.what
     }
 }
 
-fn part(doc: &Doc, offset: usize) -> Part {
+fn part(doc: &Doc, offset: usize) -> Chunk {
     let end = (offset + PART_BYTES).min(doc.bytes.len());
-    Part {
+    Chunk {
         at: doc.at,
         total: doc.bytes.len() as u32,
         offset: offset as u32,
