--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -6,13 +6,13 @@
         channel::{Relayed, RunError},
         group::Group,
         instance::{Clock, Instance, Micros, micros},
-        model::{Answer, Code, Order, Server, Status},
+        model::{Answer, ErrorCode, Order, Server, Status},
         organisation::Owner,
         peer::Peer,
         pool::Pool,
         settings::{
-            DRAIN_LATE, FULL_PEER_PAUSE, OVERDUE, OVERDUE_FACTOR, PROBE_PAUSE, RELAYS, SUBSTITUTES,
-            UNFIT_PAUSE, UNREACHABLE_PAUSE,
+            BUSY_PEER_BACKOFF, DRAIN_MARGIN, FALLBACK_INSTANCES, MAX_RELAYS, RECONNECT_INTERVAL,
+            RELAY_FAILED_BACKOFF, STALL_FACTOR, STALL_TIMEOUT, UNREACHABLE_BACKOFF,
         },
         turnstile::Turnstile,
     },
@@ -231,7 +231,7 @@
 
     /// Whether new work may go to it: not for long after it said that it leaves.
     pub fn takes_work(&self, inst: &Instance) -> bool {
-        let limit = micros(inst.bounds.get().drain.saturating_sub(DRAIN_LATE));
+        let limit = micros(inst.bounds.get().drain.saturating_sub(DRAIN_MARGIN));
         !self.is_gone() && self.draining.get().is_none_or(|at| inst.now().saturating_sub(at) < limit)
     }
 
@@ -259,7 +259,7 @@
         let now = inst.now();
         let took = now.saturating_sub(run.sent);
         self.answered(now);
-        match answer.code() {
+        match answer.error_code() {
             None => {
                 self.took(took, now);
                 self.note_base(run, took);
@@ -268,12 +268,12 @@
                     group.moved(self, at, run.sent);
                 }
             }
-            Some(Code::Busy) => {
+            Some(ErrorCode::Busy) => {
                 self.busy(now, BUSY_PAUSE);
                 self.learn(run, false);
             }
-            Some(Code::Lagging) => self.busy(now, BUSY_PAUSE),
-            Some(Code::ReadOnly) => group.denied(self, now),
+            Some(ErrorCode::Lagging) => self.busy(now, BUSY_PAUSE),
+            Some(ErrorCode::ReadOnly) => group.denied(self, now),
             Some(_) => {}
         }
     }
@@ -298,7 +298,7 @@
 
     /// The instance that hands out turns for all can't be asked: this one orders its statements alone for a while.
     pub(crate) fn order_alone(&self, now: Micros) {
-        self.alone.set(now + micros(UNFIT_PAUSE));
+        self.alone.set(now + micros(RELAY_FAILED_BACKOFF));
     }
 
     /// Whether turns at it come from one instance for all.
@@ -330,7 +330,7 @@
     /// How long a statement may take until its connection is doubted.
     pub fn overdue(&self, now: Micros) -> Duration {
         let expected = Duration::from_micros(self.pace.get().expected(now) as Micros);
-        OVERDUE.max(expected * OVERDUE_FACTOR)
+        STALL_TIMEOUT.max(expected * STALL_FACTOR)
     }
 
     /// A question sent at this time has no answer.
@@ -361,7 +361,7 @@
     /// Nobody listens at its address, for other instances neither.
     pub(crate) fn refuse(&self, now: Micros) {
         self.refused.set(self.refused.get().or(Some(now)));
-        self.avoid.set(now + micros(UNREACHABLE_PAUSE));
+        self.avoid.set(now + micros(UNREACHABLE_BACKOFF));
         self.unanswered(now);
     }
 
@@ -370,7 +370,7 @@
         match (e, via) {
             (RunError::Refused, _) => {}
             (RunError::Busy, Some(peer)) => self.unfit(peer, now, true),
-            (RunError::Busy, None) => self.busy(now, UNREACHABLE_PAUSE / 10),
+            (RunError::Busy, None) => self.busy(now, UNREACHABLE_BACKOFF / 10),
             (RunError::Gone, _) => self.failed(now, true),
             (RunError::NotSent { .. } | RunError::Broken { .. }, Some(peer)) => self.unfit(peer, now, false),
             (RunError::NotSent { .. }, None) => self.ask(),
@@ -421,7 +421,8 @@
         inst.place(self);
         let now = inst.now();
         let (unfit, homes) = (self.unfit.borrow(), self.homes.get());
-        let mut ranked: Vec<Name> = self.ranked.borrow().iter().take(homes + SUBSTITUTES).cloned().collect();
+        let mut ranked: Vec<Name> =
+            self.ranked.borrow().iter().take(homes + FALLBACK_INSTANCES).cloned().collect();
         if let Owner::Organisation(owner) = owner {
             let n = homes.min(ranked.len());
             inst.order(owner, &mut ranked[..n]);
@@ -450,7 +451,7 @@
 
     /// Another instance couldn't do it, or has too much to do, and is passed over for a while.
     pub fn unfit(&self, peer: &Name, now: Micros, full: bool) {
-        let pause = if full { FULL_PEER_PAUSE } else { UNFIT_PAUSE };
+        let pause = if full { BUSY_PEER_BACKOFF } else { RELAY_FAILED_BACKOFF };
         let mut unfit = self.unfit.borrow_mut();
         unfit.retain(|it| it.until > now && it.name != *peer);
         unfit.push(Unfit { name: peer.clone(), until: now + micros(pause), full });
@@ -458,7 +459,7 @@
 
     /// A way through another instance, for an owner's statements.
     pub async fn relay(&self, inst: &Rc<Instance>, owner: &Owner, until: Instant) -> Option<Relayed> {
-        for _ in 0..RELAYS {
+        for _ in 0..MAX_RELAYS {
             let peer = self.fit_peer(inst, owner)?;
             if let Some(link) = peer.link(inst).await {
                 let server = self.entry().as_ref().into();
@@ -471,7 +472,7 @@
     /// Tries, now and then, whether a server that others reach can be reached again.
     pub(crate) fn probe(&self, inst: &Rc<Instance>, group: &Group) {
         let now = inst.now();
-        if !self.home.get() || now < self.probed.get() + micros(PROBE_PAUSE) {
+        if !self.home.get() || now < self.probed.get() + micros(RECONNECT_INTERVAL) {
             return;
         }
         self.probed.set(now);
--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/watcher.rs
@@ -8,7 +8,7 @@
         model::Server,
         peer::Peer,
         ports::{Collection, InstanceRecord, Object, Objects, Record, StoreError},
-        settings::GONE_AFTER,
+        settings::SERVER_EXPIRY,
     },
     pondtrack_core::cadence,
     pondtrack_proto::{Name, Revision},
@@ -42,24 +42,24 @@
 const REWRITE: Duration = Duration::from_millis(6_000);
 
 /// Keeps a collection up to date while this instance has to watch the store itself, for good.
-pub async fn follow(inst: Rc<Instance>, what: Collection) {
+pub async fn run(inst: Rc<Instance>, what: Collection) {
     let mut failures = 0;
     // The revision after which changes are wanted; none when everything has to be read.
     let mut since: Option<Revision> = None;
     loop {
         // At the start it reads the whole in any case.
-        if !inst.spread.must_watch(&inst) && inst.revision(what).is_some() {
+        if !inst.distribution.must_watch(&inst) && inst.revision(what).is_some() {
             since = None;
             sleep(IDLE).await;
             continue;
         }
         let asked = inst.now();
         let got = match since {
-            None => inst.edge.store.list(what, false).await,
-            Some(at) => inst.edge.store.watch(what, at, watch_limit(&inst)).await,
+            None => inst.adapters.store.list(what, false).await,
+            Some(at) => inst.adapters.store.watch(what, at, watch_limit(&inst)).await,
         };
-        inst.counters.one(Count::StoreCalls);
-        inst.spread.watched(what, got.is_ok());
+        inst.counters.increment(Count::StoreCalls);
+        inst.distribution.record_call(what, got.is_ok());
         match got {
             Ok(it) => {
                 if std::mem::take(&mut failures) > 0 {
@@ -72,18 +72,18 @@
                     continue;
                 }
                 take(&inst, what, it, since.is_none());
-                if what == Collection::Desired {
-                    inst.confirm_desired(asked);
+                if what == Collection::Config {
+                    inst.confirm_config(asked);
                 }
                 since = Some(as_of);
             }
             Err(StoreError::Compacted) => since = None,
             Err(e) => {
-                inst.counters.one(Count::StoreFailures);
+                inst.counters.increment(Count::StoreFailures);
                 if failures == 0 {
                     log::warn!(collection:% = what; "store lost: {e}");
                 }
-                let (least, spread) = match inst.spread.is_watcher(&inst) {
+                let (least, spread) = match inst.distribution.is_watcher(&inst) {
                     true => PAUSE,
                     false => (LONG_PAUSE.0 << failures.min(DOUBLINGS), LONG_PAUSE.1),
                 };
@@ -109,9 +109,9 @@
     let mut servers = if whole { Vec::new() } else { old.clone() };
     for it in objects.items {
         match it.record {
-            Some(Record::Desired(desired)) => inst.adopt(desired, as_of),
+            Some(Record::Config(desired)) => inst.adopt(desired, as_of),
             Some(Record::Server(server)) => {
-                inst.unreadable.borrow_mut().clear(what, &it.name);
+                inst.unreadable.borrow_mut().remove(what, &it.name);
                 put(&mut servers, server);
             }
             Some(Record::Unreadable(why)) => {
@@ -121,7 +121,7 @@
             }
             Some(Record::Instance(_) | Record::Lease(_) | Record::Leader(_)) => {}
             None => {
-                inst.unreadable.borrow_mut().clear(what, &it.name);
+                inst.unreadable.borrow_mut().remove(what, &it.name);
                 servers.retain(|old| old.id != it.name);
             }
         }
@@ -142,7 +142,7 @@
 pub async fn sweep(inst: Rc<Instance>) {
     loop {
         sleep(SWEEP).await;
-        let limit = inst.now().saturating_sub(micros(GONE_AFTER));
+        let limit = inst.now().saturating_sub(micros(SERVER_EXPIRY));
         for group in inst.groups() {
             for id in group.expire(limit) {
                 log::info!(group = group.name.as_str(), server = id.as_str(); "server gone");
@@ -169,7 +169,7 @@
 
 /// Writes this instance's entry now and then, and counts the others: at the start, and as long as it watches the
 /// store. Else those that watch tell.
-pub async fn enlist(inst: Rc<Instance>) {
+pub async fn register(inst: Rc<Instance>) {
     let mut entry = Entry::default();
     let mut known: Vec<(Name, Revision, u64)> = Vec::new();
     let mut look = 0;
@@ -184,10 +184,10 @@
         if inst.era() > era.0 {
             era = (inst.era(), inst.now());
         }
-        if look < FIRST_LOOKS || inst.spread.must_watch(&inst) {
+        if look < FIRST_LOOKS || inst.distribution.must_watch(&inst) {
             look += 1;
-            inst.counters.one(Count::StoreCalls);
-            match inst.edge.store.list(Collection::Instances, true).await {
+            inst.counters.increment(Count::StoreCalls);
+            match inst.adapters.store.list(Collection::Instances, true).await {
                 Ok(it) => {
                     entry.find(&inst, &it.items);
                     let mut peers = live(&mut known, &it.items, look);
@@ -257,10 +257,10 @@
                 addr: inst.settings.peer_addr,
                 capacity: inst.settings.capacity,
             };
-            inst.counters.one(Count::StoreCalls);
+            inst.counters.increment(Count::StoreCalls);
             let name = inst.settings.name.clone();
             let is_new = self.revision.is_none();
-            let store = &inst.edge.store;
+            let store = &inst.adapters.store;
             let put = store.put(Collection::Instances, name, Record::Instance(record), self.revision);
             match put.await {
                 Ok(it) => {
@@ -315,9 +315,9 @@
 }
 
 /// Removes this instance's entry.
-pub async fn delist(inst: &Instance) {
-    inst.counters.one(Count::StoreCalls);
-    if let Err(e) = inst.edge.store.remove(Collection::Instances, inst.settings.name.clone()).await {
+pub async fn deregister(inst: &Instance) {
+    inst.counters.increment(Count::StoreCalls);
+    if let Err(e) = inst.adapters.store.remove(Collection::Instances, inst.settings.name.clone()).await {
         log::warn!("the entry of this instance stays: {e}");
     }
 }
--- a/crates/engine/src/write.rs
+++ b/crates/engine/src/write.rs
@@ -5,9 +5,9 @@
         channel::{Channel, RunError},
         count::Count,
         group::Group,
-        model::{Answer, Code, TxnState},
+        model::{Answer, ErrorCode, TxnState},
         session::{Session, text},
-        settings::{RETRY_PAUSE, TRIES},
+        settings::{MAX_ATTEMPTS, RETRY_BACKOFF_MS},
         statement::{Miss, NO_TIME, Work, busy, unknown},
         upstream::Upstream,
     },
@@ -21,8 +21,8 @@
         let Some(group) = self.inst.group(&self.route.group) else {
             return busy("the group has no servers", TxnState::Idle);
         };
-        let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
-        for n in 0..TRIES {
+        let mut backoff = Backoff::new(RETRY_BACKOFF_MS.0, RETRY_BACKOFF_MS.1);
+        for n in 0..MAX_ATTEMPTS {
             if n > 0 && self.gives_up(&group) {
                 break;
             }
@@ -50,22 +50,22 @@
                             continue;
                         }
                         RunError::Late => {
-                            return Answer::error(Code::Timeout, text(e.to_string()), TxnState::Idle);
+                            return Answer::error(ErrorCode::Timeout, text(e.to_string()), TxnState::Idle);
                         }
                         RunError::Broken { .. } => return unknown(&e.to_string()),
                     }
                 }
             };
             self.judge(&group, &up, &answer, sent, &channel);
-            if answer.txn == TxnState::Idle && answer.code() != Some(Code::NoStatement) {
+            if answer.txn == TxnState::Idle && answer.error_code() != Some(ErrorCode::NoStatement) {
                 channel.give_back();
             }
-            match answer.code() {
+            match answer.error_code() {
                 None => return self.acknowledge(session, &group, answer).await,
-                Some(code) if code.not_run() => self.pause(&mut backoff).await,
+                Some(code) if code.is_not_run() => self.pause(&mut backoff).await,
                 Some(_) => return answer,
             }
-            self.inst.counters.one(Count::Retries);
+            self.inst.counters.increment(Count::Retries);
         }
         busy("the primary doesn't take the statement", TxnState::Idle)
     }
--- a/crates/pondtrack/src/show.rs
+++ b/crates/pondtrack/src/show.rs
@@ -83,7 +83,7 @@
                 vec![row(&["SERVER", "ZONE", "ROLE", "TERM", "RECEIVED", "APPLIED", "CONNECTIONS", "HEARD"])];
             for s in &g.servers {
                 let role = if s.draining { format!("{} draining", s.role) } else { s.role.clone() };
-                let heard = s.heard_ms.map_or("never".to_owned(), |it| format!("{it} ms ago"));
+                let heard = s.last_contact_ms.map_or("never".to_owned(), |it| format!("{it} ms ago"));
                 let connections = format!("{} of {}", s.connections, s.share);
                 let (term, applied) = (s.term.to_string(), s.applied.to_string());
                 let received = s.received.to_string();
--- a/crates/pondtrack/tests/show.rs
+++ b/crates/pondtrack/tests/show.rs
@@ -7,8 +7,8 @@
         show::{self, Look},
     },
     pondtrack_proto::{
-        Decision, GroupStatus, InstanceStatus, Intent as Wanted, Lsn, Mark, MemberState, MemberStatus, Plan,
-        PlanState, ServerStatus, Step, StepState, Term,
+        Decision, GroupStatus, InstanceStatus, Intent as Wanted, LogPosition, Lsn, MemberState, MemberStatus,
+        Plan, PlanState, ServerStatus, Step, StepState, Term,
     },
     snapbox::{assert_data_eq, str},
 };
@@ -21,9 +21,9 @@
         zone: "cm-hq".into(),
         role: role.to_owned(),
         term: Term(18),
-        received: Mark::new(18, 120),
+        received: LogPosition::new(18, 120),
         applied: Lsn(119),
-        heard_ms: Some(12),
+        last_contact_ms: Some(12),
         connections: 3,
         share: 6,
         draining,
--- a/crates/pondtrackd/src/control.rs
+++ b/crates/pondtrackd/src/control.rs
@@ -9,8 +9,8 @@
     },
     pondtrack_edge::operator::{OperatorServer, code},
     pondtrack_proto::{
-        Decision, GroupStatus, InstanceStatus, Intent, MemberState, MemberStatus, Name, PeerMsg, Plan,
-        Question,
+        Decision, GroupStatus, InstanceStatus, Intent, MemberState, MemberStatus, Name, OperatorQuery,
+        PeerMsg, Plan,
     },
     std::{net::SocketAddr, rc::Rc, time::Duration},
     tokio::sync::{mpsc, oneshot},
@@ -183,13 +183,13 @@
     open.take(ASKED).map(|it| it.name.clone()).collect()
 }
 
-async fn ask_all<T: serde::de::DeserializeOwned>(node: &Rc<Node>, question: Question) -> Vec<T> {
+async fn ask_all<T: serde::de::DeserializeOwned>(node: &Rc<Node>, question: OperatorQuery) -> Vec<T> {
     let one = |name: Name| {
         let (node, question) = (node.clone(), question.clone());
         async move {
-            let make = |id| PeerMsg::Ask { id, question };
+            let make = |id| PeerMsg::Query { id, question };
             match node.peers.ask(&node, &name, make, ASK_LIMIT).await {
-                Some(PeerMsg::Told { json, .. }) => serde_json::from_str(&json).ok(),
+                Some(PeerMsg::QueryReply { json, .. }) => serde_json::from_str(&json).ok(),
                 _ => None,
             }
         }
@@ -201,14 +201,16 @@
 /// The reports of this instance and of those that answer in time.
 pub async fn status(node: &Rc<Node>) -> Vec<InstanceStatus> {
     let mut out = vec![report(node)];
-    out.extend(ask_all::<InstanceStatus>(node, Question::Status).await);
+    out.extend(ask_all::<InstanceStatus>(node, OperatorQuery::Status).await);
     out.sort_by(|a, b| a.name.cmp(&b.name));
     out
 }
 
 async fn explain(node: &Rc<Node>, subject: Option<Name>) -> Vec<Decision> {
     let mut out = node.journal.borrow().about(subject.as_ref());
-    out.extend(ask_all::<Vec<Decision>>(node, Question::Explain { subject }).await.into_iter().flatten());
+    out.extend(
+        ask_all::<Vec<Decision>>(node, OperatorQuery::Explain { subject }).await.into_iter().flatten(),
+    );
     out.sort_by_key(|it| it.at_ms);
     out
 }
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -23,7 +23,7 @@
         answer::{self, SqlError},
         batch::{self, Batch, Progress, Statements},
     },
-    pondtrack_proto::{Class, Mark, Name, Outcome, ReadPolicy, Request, TxnState},
+    pondtrack_proto::{Class, LogPosition, Name, Outcome, ReadPolicy, Request, TxnState},
     std::rc::Rc,
     tokio::{
         io::AsyncWriteExt,
@@ -54,7 +54,7 @@
     settings: Settings,
     /// The settings before the transaction.
     saved: Option<Settings>,
-    mark: Mark,
+    mark: LogPosition,
     /// Whether the mark covers what was acknowledged before the session began.
     covered: bool,
     max_age: Option<u32>,
@@ -89,7 +89,7 @@
             statements: Statements::default(),
             settings: Vec::new(),
             saved: None,
-            mark: Mark::default(),
+            mark: LogPosition::default(),
             covered: false,
             max_age: None,
             timeout: None,
@@ -335,8 +335,8 @@
         tracing::debug!(trace, home = from, took_ms = self.node.now() - began, "entry answered");
         match reply.outcome {
             Outcome::Done => {
-                self.mark.raise(reply.mark);
-                self.covered |= !aged && reply.mark != Mark::default();
+                self.mark.advance(reply.mark);
+                self.covered |= !aged && reply.mark != LogPosition::default();
                 self.home = home;
                 self.done(&batch, reply.frames, reply.txn, sets)
             }
@@ -487,7 +487,7 @@
                 self.key = key;
             }
             Change::Token(token) if token.group == self.group => {
-                self.mark.raise(token.mark);
+                self.mark.advance(token.mark);
                 self.covered = true;
                 for (name, value) in token.settings {
                     self.set(name, Some(value))?;
--- a/crates/pondtrackd/src/forward.rs
+++ b/crates/pondtrackd/src/forward.rs
@@ -3,7 +3,7 @@
 use {
     crate::{home::exec, node::Node, peers::Lost},
     pondtrack_core::Time,
-    pondtrack_proto::{Class, Name, Outcome, PeerMsg, Reply, Request, Served, TxnState},
+    pondtrack_proto::{Class, Name, Outcome, PeerMsg, Reply, Request, ServedBy, TxnState},
     std::{rc::Rc, time::Duration},
     tokio::time::timeout,
 };
@@ -135,9 +135,9 @@
     let reply = Reply {
         id,
         outcome,
-        mark: pondtrack_proto::Mark::default(),
+        mark: pondtrack_proto::LogPosition::default(),
         txn: TxnState::Idle,
-        served: Served::None,
+        served: ServedBy::None,
         frames: Vec::new(),
     };
     Forwarded { reply, home: None }
--- a/crates/pondtrackd/src/home/barrier.rs
+++ b/crates/pondtrackd/src/home/barrier.rs
@@ -9,7 +9,7 @@
     super::{Home, ORDER_LIMIT},
     crate::{node::Node, telemetry::Count},
     pondtrack_edge::contract::{Order, Position, Role},
-    pondtrack_proto::{Mark, Term},
+    pondtrack_proto::{LogPosition, Term},
     std::{cell::RefCell, rc::Rc},
     tokio::sync::{mpsc, oneshot},
 };
@@ -18,11 +18,11 @@
 #[derive(Default)]
 pub struct Barrier {
     running: RefCell<bool>,
-    waiting: RefCell<Vec<oneshot::Sender<Option<Mark>>>>,
+    waiting: RefCell<Vec<oneshot::Sender<Option<LogPosition>>>>,
 }
 
 /// The position that covers all that was acknowledged before the call; none when no majority answers.
-pub async fn pass(node: &Rc<Node>, home: &Rc<Home>) -> Option<Mark> {
+pub async fn pass(node: &Rc<Node>, home: &Rc<Home>) -> Option<LogPosition> {
     let (send, receive) = oneshot::channel();
     home.barrier.waiting.borrow_mut().push(send);
     if !*home.barrier.running.borrow() {
@@ -48,7 +48,7 @@
 }
 
 /// One round.
-pub async fn round(node: &Rc<Node>, home: &Rc<Home>) -> Option<Mark> {
+pub async fn round(node: &Rc<Node>, home: &Rc<Home>) -> Option<LogPosition> {
     node.count(Count::Barriers);
     let quorum = home.spec.borrow().majority();
     let (send, mut receive) = mpsc::unbounded_channel();
@@ -74,9 +74,9 @@
 }
 
 /// The position shown by the primary of a term that a majority names.
-fn judge(answers: &[Position], quorum: usize) -> Option<Mark> {
+fn judge(answers: &[Position], quorum: usize) -> Option<LogPosition> {
     let term: Term = answers.iter().map(|it| it.term).max()?;
     let agree = answers.iter().filter(|it| it.term == term).count();
     let primary = answers.iter().find(|it| it.role == Role::Primary && it.term == term)?;
-    (agree >= quorum).then_some(Mark { term, lsn: primary.received.lsn })
+    (agree >= quorum).then_some(LogPosition { term, lsn: primary.received.lsn })
 }
--- a/crates/pondtrackd/src/home/exec/mod.rs
+++ b/crates/pondtrackd/src/home/exec/mod.rs
@@ -34,7 +34,7 @@
         contract::{Order, POSITION, Position, Role},
         upstream::{self, Answer},
     },
-    pondtrack_proto::{Class, Mark, Name, Outcome, Reply, Request, Served, TxnState},
+    pondtrack_proto::{Class, LogPosition, Name, Outcome, Reply, Request, ServedBy, TxnState},
     std::{rc::Rc, time::Duration},
     tokio::{sync::Notify, time::timeout},
     tracing::Instrument,
@@ -64,14 +64,14 @@
 pub struct Ran {
     frames: Vec<u8>,
     txn: TxnState,
-    mark: Mark,
-    served: Served,
+    mark: LogPosition,
+    served: ServedBy,
 }
 
 impl Ran {
     /// The recorded outcome of an earlier run.
     pub fn repeated(frames: Vec<u8>) -> Ran {
-        Ran { frames, txn: TxnState::Idle, mark: Mark::default(), served: Served::Primary }
+        Ran { frames, txn: TxnState::Idle, mark: LogPosition::default(), served: ServedBy::Primary }
     }
 }
 
@@ -148,9 +148,9 @@
     let reply = |outcome| Reply {
         id,
         outcome,
-        mark: Mark::default(),
+        mark: LogPosition::default(),
         txn: TxnState::Idle,
-        served: Served::None,
+        served: ServedBy::None,
         frames: Vec::new(),
     };
     match out {
@@ -167,11 +167,11 @@
     }
 }
 
-fn count_read(node: &Node, served: Served) {
+fn count_read(node: &Node, served: ServedBy) {
     match served {
-        Served::Replica => node.count(Count::ReplicaReads),
-        Served::Primary => node.count(Count::PrimaryReads),
-        Served::None => {}
+        ServedBy::Replica => node.count(Count::ReplicaReads),
+        ServedBy::Primary => node.count(Count::PrimaryReads),
+        ServedBy::None => {}
     }
     let (replica, primary) = (node.counters.get(Count::ReplicaReads), node.counters.get(Count::PrimaryReads));
     telemetry::replica_share(replica as f64 / (replica + primary).max(1) as f64);
@@ -352,11 +352,11 @@
     server: usize,
     mut lease: Lease,
     answer: Answer,
-    mark: Mark,
+    mark: LogPosition,
     key: Option<Name>,
 ) -> (Result<Ran, Fail>, Option<Box<Pinned>>) {
     let txn = answer.txn;
-    let ran = Ran { frames: answer.frames, txn, mark, served: Served::Primary };
+    let ran = Ran { frames: answer.frames, txn, mark, served: ServedBy::Primary };
     if txn == TxnState::Idle {
         lease.give_back();
         return (Ok(ran), None);
@@ -370,7 +370,7 @@
 const TRANSACTION: &str = "transaction";
 
 /// The mark an answer of the primary stands for; none unless it led the same term before and after.
-fn same_primary(it: &Exchange) -> Option<Mark> {
+fn same_primary(it: &Exchange) -> Option<LogPosition> {
     let (before, after) = (it.before?, it.after?);
     let leads = before.role == Role::Primary && after.role == Role::Primary && before.term == after.term;
     leads.then_some(after.received)
--- a/crates/pondtrackd/src/home/exec/once.rs
+++ b/crates/pondtrackd/src/home/exec/once.rs
@@ -15,7 +15,7 @@
         contract::Order,
         upstream::{self, Answer},
     },
-    pondtrack_proto::{Mark, Name, Outcome, Served, TxnState},
+    pondtrack_proto::{LogPosition, Name, Outcome, ServedBy, TxnState},
 };
 
 impl Task<'_> {
@@ -59,8 +59,8 @@
         self.run_tail(&mut lease, &tail, 1).await.ok();
         self.finish(lease, TxnState::Idle);
         let frames = ready_idle(first.answer.frames);
-        let mark = Mark::default();
-        Ok(Ran { frames, txn: TxnState::Idle, mark, served: Served::Primary })
+        let mark = LogPosition::default();
+        Ok(Ran { frames, txn: TxnState::Idle, mark, served: ServedBy::Primary })
     }
 
     /// The key could not be entered: it is there already, or the ledger is not.
@@ -97,7 +97,7 @@
         }
     }
 
-    pub(super) fn settled(&self, found: &Recorded, mark: Mark) -> Result<Ran, Fail> {
+    pub(super) fn settled(&self, found: &Recorded, mark: LogPosition) -> Result<Ran, Fail> {
         self.node.count(Count::Repeated);
         let ran = keyed::settle(&self.req.frames, found)?;
         Ok(Ran { mark, ..ran })
--- a/crates/pondtrackd/src/home/exec/read.rs
+++ b/crates/pondtrackd/src/home/exec/read.rs
@@ -11,7 +11,7 @@
         route::{self, RouteConfig, Target},
     },
     pondtrack_edge::contract::{Order, Role},
-    pondtrack_proto::{Lsn, Mark, Name, Served, Term},
+    pondtrack_proto::{LogPosition, Lsn, Name, ServedBy, Term},
     std::time::Duration,
     tokio::time::timeout,
 };
@@ -21,7 +21,7 @@
     pub(super) async fn read(&self) -> Result<Ran, Fail> {
         let mut mark = self.req.mark;
         if self.req.barrier && self.req.age_ms.is_none() {
-            mark.raise(self.barrier().await?);
+            mark.advance(self.barrier().await?);
         }
         let mut tried = Vec::new();
         let mut backoff = Backoff::new(BACKOFF.0, BACKOFF.1);
@@ -48,7 +48,7 @@
         Err(Fail::Again { reason: "no server could answer the read in time".into(), server: None })
     }
 
-    pub(super) async fn barrier(&self) -> Result<Mark, Fail> {
+    pub(super) async fn barrier(&self) -> Result<LogPosition, Fail> {
         loop {
             let left = self.left();
             if let Ok(Some(it)) = timeout(left, barrier::pass(self.node, self.home)).await {
@@ -65,7 +65,7 @@
     }
 
     /// Chooses a server; old evidence of age is renewed before replicas are given up for it.
-    pub(super) async fn target(&self, mark: Mark, tried: &[usize]) -> Target {
+    pub(super) async fn target(&self, mark: LogPosition, tried: &[usize]) -> Target {
         if !self.node.settings.replica_reads.is_on() {
             return Target::Nowhere;
         }
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn choose(&self, mark: Mark, tried: &[usize]) -> Target {
+    pub(super) fn choose(&self, mark: LogPosition, tried: &[usize]) -> Target {
         let now = self.node.now();
         let config = RouteConfig::default();
         let candidates = self.home.candidates(self.node);
@@ -96,7 +96,12 @@
         as_of.is_some_and(|at| self.node.now().saturating_sub(at) <= u64::from(age))
     }
 
-    pub(super) async fn read_replica(&self, server: usize, wait: u64, mark: Mark) -> Result<Ran, Fail> {
+    pub(super) async fn read_replica(
+        &self,
+        server: usize,
+        wait: u64,
+        mark: LogPosition,
+    ) -> Result<Ran, Fail> {
         let again = |reason: Name| Fail::Again { reason, server: Some(server) };
         let mut lease = self.lend(server).await.map_err(|e| again(e.reason))?;
         let order = Order::Wait { mark, ms: wait as u32 };
@@ -115,7 +120,7 @@
             self.finish(lease, it.answer.txn);
             return Err(again("the replica is behind".into()));
         }
-        let shown = Mark { term: after.term, lsn: after.applied };
+        let shown = LogPosition { term: after.term, lsn: after.applied };
         if self.home.servers.len() > 3 {
             // Primary and replica are no majority of a larger group.
             let gated = self.home.gated(self.node, shown, self.deadline).await;
@@ -125,7 +130,7 @@
         }
         let txn = it.answer.txn;
         self.finish(lease, txn);
-        Ok(Ran { frames: it.answer.frames, txn, mark: shown, served: Served::Replica })
+        Ok(Ran { frames: it.answer.frames, txn, mark: shown, served: ServedBy::Replica })
     }
 
     pub(super) async fn read_primary(&self) -> Result<Ran, Fail> {
@@ -140,7 +145,7 @@
         match self.home.gated(self.node, shown, self.deadline).await {
             Gated::Open => {
                 self.finish(lease, txn);
-                Ok(Ran { frames: it.answer.frames, txn, mark: shown, served: Served::Primary })
+                Ok(Ran { frames: it.answer.frames, txn, mark: shown, served: ServedBy::Primary })
             }
             _ => Err(again("the primary was superseded".into())),
         }
--- a/crates/pondtrackd/src/home/exec/resolve.rs
+++ b/crates/pondtrackd/src/home/exec/resolve.rs
@@ -12,7 +12,7 @@
         contract::{Order, Position},
         upstream,
     },
-    pondtrack_proto::{Lsn, Mark, Name, Served, TxnState},
+    pondtrack_proto::{LogPosition, Lsn, Name, ServedBy, TxnState},
     std::time::Duration,
     tokio::time::timeout,
 };
@@ -36,8 +36,8 @@
         if let Some(end) = after
             && entry(end.received.lsn).await.is_ok_and(|p| p.received.term == before.term)
         {
-            let mark = Mark { term: now.term, lsn: end.received.lsn };
-            let served = Served::Primary;
+            let mark = LogPosition { term: now.term, lsn: end.received.lsn };
+            let served = ServedBy::Primary;
             return Ok(Ran { frames: it.answer.frames, txn: TxnState::Idle, mark, served });
         }
         match entry(first).await {
@@ -78,7 +78,7 @@
                 _ => drop(timeout(self.left().min(LOOK), self.home.changed.notified()).await),
             }
         };
-        let settled = Mark { term: now.term, lsn: now.received.lsn };
+        let settled = LogPosition { term: now.term, lsn: now.received.lsn };
         match self.home.gated(self.node, settled, self.deadline).await {
             Gated::Open => Ok((primary, now)),
             Gated::Broken | Gated::Late => Err("the next primary was superseded in turn"),
--- a/crates/pondtrackd/src/home/exec/transaction.rs
+++ b/crates/pondtrackd/src/home/exec/transaction.rs
@@ -6,7 +6,7 @@
     bytes::BytesMut,
     pondtrack_core::request_key,
     pondtrack_edge::{contract::Order, upstream},
-    pondtrack_proto::{Class, Mark, Name, TxnState},
+    pondtrack_proto::{Class, LogPosition, Name, TxnState},
 };
 
 impl Task<'_> {
@@ -75,7 +75,7 @@
                 _ => return (lost(), None),
             },
             // An error shows no rows.
-            Some(_) => Mark::default(),
+            Some(_) => LogPosition::default(),
             None => return (lost(), None),
         };
         give(server, lease, it.answer, shown, key)
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -13,7 +13,7 @@
         switch::{Action, Switch, SwitchState},
     },
     pondtrack_edge::contract::{Order, Position, Role},
-    pondtrack_proto::{Mark, Name, PeerMsg, Term},
+    pondtrack_proto::{LogPosition, Name, PeerMsg, Term},
     std::{rc::Rc, time::Duration},
     tokio::{
         sync::mpsc,
@@ -227,9 +227,11 @@
         let group = home.group.clone();
         let node = node.clone();
         asks.push(async move {
-            let make = |id| PeerMsg::Heard { id, group };
+            let make = |id| PeerMsg::ProbePrimary { id, group };
             match node.peers.ask(&node, &it, make, OPINION_LIMIT).await {
-                Some(PeerMsg::HeardReply { term, stalled, .. }) => Some(Opinion { from: it, term, stalled }),
+                Some(PeerMsg::ProbePrimaryReply { term, stalled, .. }) => {
+                    Some(Opinion { from: it, term, stalled })
+                }
                 _ => None,
             }
         });
@@ -314,7 +316,7 @@
     let logs: Vec<String> = switch
         .fenced
         .iter()
-        .map(|(n, last): &(usize, Mark)| format!("{} at {last}", home.servers[*n].spec.borrow().name))
+        .map(|(n, last): &(usize, LogPosition)| format!("{} at {last}", home.servers[*n].spec.borrow().name))
         .collect();
     let what = format!("{name} is the primary of term {}", switch.term);
     node.decide(&home.group, what, format!("fenced: {}", logs.join(", ")));
--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -34,7 +34,7 @@
         EdgeError, Upstream,
         contract::{Order, Position, Role},
     },
-    pondtrack_proto::{GroupSpec, GroupStatus, Lsn, Mark, Name, ServerSpec, ServerStatus, Term},
+    pondtrack_proto::{GroupSpec, GroupStatus, LogPosition, Lsn, Name, ServerSpec, ServerStatus, Term},
     pool::Pool,
     std::{
         cell::{Cell, RefCell},
@@ -336,7 +336,7 @@
     }
 
     /// Waits until a majority holds what the primary of a term wrote up to a position.
-    pub async fn gated(&self, node: &Node, mark: Mark, deadline: Time) -> Gated {
+    pub async fn gated(&self, node: &Node, mark: LogPosition, deadline: Time) -> Gated {
         let verdict = self.gate.borrow_mut().hold(mark.term, mark.lsn);
         let ticket = match verdict {
             Verdict::Open => return Gated::Open,
@@ -474,7 +474,7 @@
                 term: view.position.map(|p| p.term).unwrap_or_default(),
                 received: view.position.map(|p| p.received).unwrap_or_default(),
                 applied: view.position.map(|p| p.applied).unwrap_or_default(),
-                heard_ms,
+                last_contact_ms: heard_ms,
                 connections: it.pool.open(),
                 share: it.pool.share(),
                 draining: spec.draining,
--- a/crates/pondtrackd/src/hosted.rs
+++ b/crates/pondtrackd/src/hosted.rs
@@ -5,11 +5,11 @@
     axum::{Router, http::StatusCode, routing},
     bpaf::Bpaf,
     pondtrack_engine::{
-        feed,
+        distribution,
         instance::Instance,
         lease, limit,
-        ports::{Collection, Edge},
-        relay, report, session, settings, spread, takeover,
+        ports::{Adapters, Collection},
+        relay, report, session, settings, takeover, watcher,
     },
     pondtrack_platform::{
         Boot, Lines, ObjectStore, Orders,
@@ -107,8 +107,8 @@
     let boot = Boot::load()?;
     let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
-    let edge = Edge {
-        dialect: Box::new(Lines),
+    let edge = Adapters {
+        protocol: Box::new(Lines),
         store: Box::new(ObjectStore::new(boot.platform.addr)),
         promoter: Box::new(Orders::new(boot.orders.addr)),
     };
@@ -125,12 +125,12 @@
     let links = listen("other instances", inst.settings.peer_addr).await?;
     tokio::task::spawn_local(relay::accept(inst.clone(), links));
     tokio::task::spawn_local(probe(inst.clone(), ready));
-    tokio::task::spawn_local(feed::follow(inst.clone(), Collection::Desired));
-    tokio::task::spawn_local(feed::follow(inst.clone(), Collection::Servers));
-    tokio::task::spawn_local(feed::enlist(inst.clone()));
-    tokio::task::spawn_local(feed::sweep(inst.clone()));
-    tokio::task::spawn_local(spread::run(inst.clone()));
-    tokio::task::spawn_local(spread::join(inst.clone(), boot.seeds.clone()));
+    tokio::task::spawn_local(watcher::run(inst.clone(), Collection::Config));
+    tokio::task::spawn_local(watcher::run(inst.clone(), Collection::Servers));
+    tokio::task::spawn_local(watcher::register(inst.clone()));
+    tokio::task::spawn_local(watcher::sweep(inst.clone()));
+    tokio::task::spawn_local(distribution::run(inst.clone()));
+    tokio::task::spawn_local(distribution::join(inst.clone(), boot.seeds.clone()));
     tokio::task::spawn_local(limit::run(inst.clone()));
     tokio::task::spawn_local(report::run(inst.clone()));
     tokio::task::spawn_local(takeover::watch(inst.clone()));
@@ -143,7 +143,7 @@
     inst.begin_leave();
     drain(&inst).await;
     accepting.abort();
-    let farewell = async { tokio::join!(feed::delist(&inst), lease) };
+    let farewell = async { tokio::join!(watcher::deregister(&inst), lease) };
     if timeout(FAREWELL, farewell).await.is_err() {
         log::warn!(step = "end"; "what this instance held in the store was not given up in time");
     }
@@ -160,7 +160,7 @@
 async fn drain(inst: &Instance) {
     let quiet = async {
         // New ones still come until the platform has noticed.
-        sleep(settings::ROTATION_LIMIT).await;
+        sleep(settings::UNREADY_DELAY).await;
         while inst.sessions.get() > 0 {
             sleep(END_PAUSE).await;
         }
--- a/crates/pondtrackd/src/keeper.rs
+++ b/crates/pondtrackd/src/keeper.rs
@@ -227,9 +227,9 @@
     let known = home.term();
     let homes = node.homes_of(&home.spec.borrow()).homes.clone();
     for peer in homes.into_iter().filter(|it| *it != node.name) {
-        let make = |id| PeerMsg::Terms { id, group: home.group.clone(), known };
+        let make = |id| PeerMsg::ReserveTerms { id, group: home.group.clone(), known };
         let answer = node.peers.ask(node, &peer, make, SHARE_LIMIT).await;
-        if let Some(PeerMsg::TermsReply { block: Some((first, end)), .. }) = answer {
+        if let Some(PeerMsg::ReserveTermsReply { block: Some((first, end)), .. }) = answer {
             home.grants.borrow_mut().add(first, end);
             node.decide(
                 &home.group,
--- a/crates/pondtrackd/src/peers.rs
+++ b/crates/pondtrackd/src/peers.rs
@@ -13,7 +13,7 @@
         contract::{Order, Role},
         link::{self, LinkReader, LinkWriter},
     },
-    pondtrack_proto::{Name, Outcome, PeerMsg, Question, Reply, Request, Served, TxnState},
+    pondtrack_proto::{Name, OperatorQuery, Outcome, PeerMsg, Reply, Request, ServedBy, TxnState},
     std::{
         cell::{Cell, RefCell},
         net::SocketAddr,
@@ -239,10 +239,10 @@
         };
         let id = match &msg {
             PeerMsg::Reply(it) => it.id,
-            PeerMsg::HeardReply { id, .. }
-            | PeerMsg::Held { id, .. }
-            | PeerMsg::Told { id, .. }
-            | PeerMsg::TermsReply { id, .. } => *id,
+            PeerMsg::ProbePrimaryReply { id, .. }
+            | PeerMsg::WritesPaused { id, .. }
+            | PeerMsg::QueryReply { id, .. }
+            | PeerMsg::ReserveTermsReply { id, .. } => *id,
             _ => continue,
         };
         match node.peers.take(id) {
@@ -316,7 +316,7 @@
     loop {
         every.tick().await;
         if running.get() > 0 {
-            let _ = send.try_send(link::encode(&PeerMsg::Beat));
+            let _ = send.try_send(link::encode(&PeerMsg::KeepAlive));
         }
     }
 }
@@ -364,37 +364,37 @@
             }
         }
         PeerMsg::CancelFor { pid, secret } => entry::cancel_here(node, pid, secret),
-        PeerMsg::Heard { id, group } => {
+        PeerMsg::ProbePrimary { id, group } => {
             let (node, send) = (node.clone(), send.clone());
             tokio::task::spawn_local(async move {
                 let it = heard(&node, id, &group).await;
                 let _ = send.send(link::encode(&it)).await;
             });
         }
-        PeerMsg::Hold { id, group, ms } => {
+        PeerMsg::PauseWrites { id, group, ms } => {
             let (node, send) = (node.clone(), send.clone());
             tokio::task::spawn_local(async move {
                 let open = hold(&node, &group, ms).await;
-                let _ = send.send(link::encode(&PeerMsg::Held { id, open })).await;
+                let _ = send.send(link::encode(&PeerMsg::WritesPaused { id, open })).await;
             });
         }
-        PeerMsg::Release { group } => release(node, &group),
-        PeerMsg::Ask { id, question } => {
+        PeerMsg::ResumeWrites { group } => release(node, &group),
+        PeerMsg::Query { id, question } => {
             let json = tell(node, &question);
-            let _ = send.try_send(link::encode(&PeerMsg::Told { id, json }));
+            let _ = send.try_send(link::encode(&PeerMsg::QueryReply { id, json }));
         }
-        PeerMsg::Terms { id, group, known } => {
+        PeerMsg::ReserveTerms { id, group, known } => {
             // They are no longer this home's before they leave: a lost answer loses them, and no two have one.
             let block = node.home(&group).and_then(|it| it.grants.borrow_mut().share(known.max(it.term())));
-            let _ = send.try_send(link::encode(&PeerMsg::TermsReply { id, block }));
+            let _ = send.try_send(link::encode(&PeerMsg::ReserveTermsReply { id, block }));
         }
         PeerMsg::Hello { .. }
         | PeerMsg::Reply(_)
-        | PeerMsg::Beat
-        | PeerMsg::HeardReply { .. }
-        | PeerMsg::Held { .. }
-        | PeerMsg::Told { .. }
-        | PeerMsg::TermsReply { .. } => {}
+        | PeerMsg::KeepAlive
+        | PeerMsg::ProbePrimaryReply { .. }
+        | PeerMsg::WritesPaused { .. }
+        | PeerMsg::QueryReply { .. }
+        | PeerMsg::ReserveTermsReply { .. } => {}
     }
 }
 
@@ -407,7 +407,7 @@
             outcome: Outcome::NotRun { reason: "this instance is no home of the group".into(), retry_ms: 0 },
             mark: req.mark,
             txn: TxnState::Idle,
-            served: Served::None,
+            served: ServedBy::None,
             frames: Vec::new(),
         },
     }
@@ -415,13 +415,13 @@
 
 /// Asks the primary anew, as what was heard a while ago says little.
 async fn heard(node: &Rc<Node>, id: u64, group: &Name) -> PeerMsg {
-    let silent = PeerMsg::HeardReply { id, term: None, stalled: false };
+    let silent = PeerMsg::ProbePrimaryReply { id, term: None, stalled: false };
     let Some(home) = node.home(group) else { return silent };
     let Some(primary) = home.primary() else { return silent };
     let Ok(it) = home.order(node, primary, Order::Position, HEARD_LIMIT).await else { return silent };
     let limit = node.settings.detect().stall / 2;
     let stalled = home.stalled.get().is_some_and(|at| node.now().saturating_sub(at) > limit);
-    PeerMsg::HeardReply { id, term: (it.role == Role::Primary).then_some(it.term), stalled }
+    PeerMsg::ProbePrimaryReply { id, term: (it.role == Role::Primary).then_some(it.term), stalled }
 }
 
 /// Holds new work for a group's primary here; hands back how many transactions are still open.
@@ -447,10 +447,10 @@
     }
 }
 
-fn tell(node: &Rc<Node>, question: &Question) -> String {
+fn tell(node: &Rc<Node>, question: &OperatorQuery) -> String {
     let json = match question {
-        Question::Status => serde_json::to_string(&crate::control::report(node)),
-        Question::Explain { subject } => {
+        OperatorQuery::Status => serde_json::to_string(&crate::control::report(node)),
+        OperatorQuery::Explain { subject } => {
             serde_json::to_string(&node.journal.borrow().about(subject.as_ref()))
         }
     };
--- a/crates/pondtrackd/src/planner.rs
+++ b/crates/pondtrackd/src/planner.rs
@@ -16,7 +16,9 @@
         plan::{self, Outlook, PlanEvent},
     },
     pondtrack_edge::{PlatformError, contract::Order, platform::Object},
-    pondtrack_proto::{FactKind, GroupSpec, Intent, Mark, Name, PeerMsg, Plan, PlanState, Step, StepState},
+    pondtrack_proto::{
+        FactKind, GroupSpec, Intent, LogPosition, Name, PeerMsg, Plan, PlanState, Step, StepState,
+    },
     std::{collections::BTreeSet, rc::Rc, time::Duration},
     tokio::time::sleep,
 };
@@ -282,7 +284,7 @@
         let it = node.platform.get(kind(FactKind::Group), group).await.map_err(|e| refusal(&e))?;
         let mut spec: GroupSpec = it.read().map_err(|e| refusal(&e))?;
         spec.servers.sort_by(|a, b| a.name.cmp(&b.name));
-        let Some(at) = spec.server(server) else {
+        let Some(at) = spec.server_index(server) else {
             return Err(Refusal::Refused(format!("{server} is no longer a server of {group}")));
         };
         let text = format!("{server} of {group} is {}", if draining { "draining" } else { "in use" });
@@ -341,7 +343,7 @@
     let Some(home) = node.home(group) else {
         return Err(Refusal::Raced("this instance is not a home yet".to_owned()));
     };
-    let Some(target) = home.spec.borrow().server(server) else {
+    let Some(target) = home.spec.borrow().server_index(server) else {
         return Err(Refusal::Refused(format!("{server} is no server of {group}")));
     };
     let mut last = String::new();
@@ -391,13 +393,15 @@
         homes.into_iter().filter(|it| *it != node.name).collect()
     };
     let holds = others.iter().map(|it| {
-        let make = |id| PeerMsg::Hold { id, group: home.group.clone(), ms: HOLD_MS };
+        let make = |id| PeerMsg::PauseWrites { id, group: home.group.clone(), ms: HOLD_MS };
         node.peers.ask(node, it, make, HOLD_LIMIT)
     });
     let own = peers::hold(node, &home.group, HOLD_MS);
     let (answers, open) = tokio::join!(futures::future::join_all(holds), own);
-    let theirs: u32 =
-        answers.iter().map(|it| if let Some(PeerMsg::Held { open, .. }) = it { *open } else { 0 }).sum();
+    let theirs: u32 = answers
+        .iter()
+        .map(|it| if let Some(PeerMsg::WritesPaused { open, .. }) = it { *open } else { 0 })
+        .sum();
     let out = match open + theirs {
         0 => promote(node, home, from, target).await,
         _ if force => promote(node, home, from, target).await,
@@ -405,7 +409,7 @@
     };
     peers::release(node, &home.group);
     for it in &others {
-        node.peers.tell(node, it, &PeerMsg::Release { group: home.group.clone() });
+        node.peers.tell(node, it, &PeerMsg::ResumeWrites { group: home.group.clone() });
     }
     out.map(|text| format!("{text}; work was held for {} ms", node.now() - began))
 }
@@ -417,7 +421,7 @@
     target: usize,
 ) -> Result<String, String> {
     let lead = home.order(node, from, Order::Position, ORDER_LIMIT).await.map_err(|e| e.to_string())?;
-    let mark = Mark { term: lead.term, lsn: lead.received.lsn };
+    let mark = LogPosition { term: lead.term, lsn: lead.received.lsn };
     let ms = CATCH_UP.as_millis() as u32;
     let caught =
         home.order(node, target, Order::Wait { mark, ms }, ORDER_LIMIT).await.map_err(|e| e.to_string())?;
@@ -426,7 +430,7 @@
     }
     let wish = failover::Wish { prefer: Some(target), skip: None };
     let (term, name) = failover::change(node, home, wish).await?;
-    if home.spec.borrow().server(&name) != Some(target) {
+    if home.spec.borrow().server_index(&name) != Some(target) {
         return Err(format!("{name} had a higher log and became the primary of term {term}"));
     }
     Ok(format!("{name} is the primary of {} in term {term}", home.group))
--- a/crates/pondtrackd/src/settings.rs
+++ b/crates/pondtrackd/src/settings.rs
@@ -4,7 +4,7 @@
     crate::hosted::{Hosted, hosted_parser},
     bpaf::{Bpaf, OptionParser, Parser},
     pondtrack_core::{detect::DetectConfig, spread::Choice},
-    pondtrack_proto::{Name, group::is_name},
+    pondtrack_proto::{Name, group::is_valid_name},
     snafu::Snafu,
     std::net::{IpAddr, Ipv4Addr, SocketAddr},
 };
@@ -166,10 +166,10 @@
             Err(SettingError { setting, value: value.to_string(), accepted })
         };
         let name = "1 to 63 of a-z, 0-9, '-' and '_'";
-        if !is_name(&self.name) {
+        if !is_valid_name(&self.name) {
             return fail("name", &self.name, name);
         }
-        if !is_name(&self.zone) {
+        if !is_valid_name(&self.zone) {
             return fail("zone", &self.zone, name);
         }
         if !self.plaintext {
--- a/crates/pondtrackd/tests/soak.rs
+++ b/crates/pondtrackd/tests/soak.rs
@@ -187,7 +187,7 @@
         let keys = Keys::new(seed);
         let mut first = desired(1, 20);
         first.organisations = Some(keys.next());
-        store.set(Collection::Desired, "main", Record::Desired(first));
+        store.set(Collection::Config, "main", Record::Config(first));
         let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
         fs::create_dir_all(&dir).unwrap();
         let mut instances = Vec::new();
--- a/crates/pondtrackd/tests/soak/growth.rs
+++ b/crates/pondtrackd/tests/soak/growth.rs
@@ -70,7 +70,7 @@
     desired.routes.sort_by(|a, b| a.database.cmp(&b.database));
     desired.organisations = Some(organisations);
     growth.version.set(version);
-    world.store.set(Collection::Desired, "main", Record::Desired(desired));
+    world.store.set(Collection::Config, "main", Record::Config(desired));
 }
 
 /// Asks instances for the newest version until `end`: none that had it may have an older one later.
--- a/crates/proto/src/fact.rs
+++ b/crates/proto/src/fact.rs
@@ -8,7 +8,7 @@
 };
 
 /// Number of buckets in a [`Digest`].
-pub const BUCKETS: usize = 64;
+pub const DIGEST_BUCKETS: usize = 64;
 
 /// Kinds of platform objects that are gossiped as facts.
 #[derive(
@@ -67,11 +67,11 @@
 impl FactKey {
     /// Returns the index of the bucket that holds the fact.
     pub fn bucket(&self) -> usize {
-        self.hash(0) as usize % BUCKETS
+        self.hash_at(0) as usize % DIGEST_BUCKETS
     }
 
     /// Hashes the key together with a version.
-    pub fn hash(&self, version: u64) -> u64 {
+    pub fn hash_at(&self, version: u64) -> u64 {
         let mut buf = Vec::with_capacity(self.name.len() + 9);
         buf.push(self.kind as u8);
         buf.extend_from_slice(&version.to_le_bytes());
--- a/crates/proto/src/group.rs
+++ b/crates/proto/src/group.rs
@@ -99,7 +99,7 @@
         let mut spec: GroupSpec =
             serde_json::from_slice(text).map_err(|e| SpecError::Syntax { reason: e.to_string() })?;
         spec.servers.sort_by(|a, b| a.name.cmp(&b.name));
-        spec.check()?;
+        spec.validate()?;
         Ok(spec)
     }
 
@@ -108,11 +108,11 @@
     /// # Errors
     ///
     /// Returns [`SpecError::Value`] for the first value out of range.
-    pub fn check(&self) -> Result<(), SpecError> {
+    pub fn validate(&self) -> Result<(), SpecError> {
         let invalid = |field: &str, value: String, accepted| {
             Err(SpecError::Value { field: field.to_owned(), value, accepted })
         };
-        if !is_name(&self.name) {
+        if !is_valid_name(&self.name) {
             return invalid("name", self.name.to_string(), "1 to 63 of a-z, 0-9, '-' and '_'");
         }
         let n = self.servers.len();
@@ -123,7 +123,7 @@
             return invalid("limit", self.limit.to_string(), "4 to 10000 connections a server");
         }
         for server in &self.servers {
-            if !is_name(&server.name) {
+            if !is_valid_name(&server.name) {
                 return invalid("servers.name", server.name.to_string(), "1 to 63 of a-z, 0-9, '-' and '_'");
             }
         }
@@ -146,13 +146,13 @@
     }
 
     /// Returns the index of a server in the sorted list.
-    pub fn server(&self, name: &str) -> Option<usize> {
+    pub fn server_index(&self, name: &str) -> Option<usize> {
         self.servers.binary_search_by(|s| s.name.as_str().cmp(name)).ok()
     }
 }
 
 /// Returns true if a text is a valid name of a group, server, instance or availability zone.
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
     !text.is_empty() && text.len() <= 63 && text.chars().all(is_allowed)
 }
--- a/crates/proto/src/ids.rs
+++ b/crates/proto/src/ids.rs
@@ -38,24 +38,24 @@
 ///
 /// Ordered by term first, then by LSN, as promotion ranks the logs of replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct LogPosition {
     /// Term in which the position was observed.
     pub term: Term,
     /// Log sequence number.
     pub lsn: Lsn,
 }
 
-impl Mark {
+impl LogPosition {
     /// Creates a log position from plain numbers.
-    pub const fn new(term: u64, lsn: u64) -> Mark {
-        Mark { term: Term(term), lsn: Lsn(lsn) }
+    pub const fn new(term: u64, lsn: u64) -> LogPosition {
+        LogPosition { term: Term(term), lsn: Lsn(lsn) }
     }
 
     /// Raises the term and the LSN independently to at least those of `other`.
     ///
     /// An acknowledged entry is part of the log in every later term, so a reader must reach the highest LSN seen in the
     /// highest term seen.
-    pub fn raise(&mut self, other: Mark) {
+    pub fn advance(&mut self, other: LogPosition) {
         self.term = self.term.max(other.term);
         self.lsn = self.lsn.max(other.lsn);
     }
@@ -82,7 +82,7 @@
     }
 }
 
-impl fmt::Display for Mark {
+impl fmt::Display for LogPosition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.term, self.lsn)
     }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -29,11 +29,11 @@
 pub mod status;
 
 pub use crate::{
-    fact::{BUCKETS, Digest, Fact, FactKey, FactKind},
+    fact::{DIGEST_BUCKETS, Digest, Fact, FactKey, FactKind},
     group::{GroupSpec, ReadPolicy, ServerSpec, SpecError, TermRecord},
-    ids::{Incarnation, Lsn, Mark, Name, Term},
+    ids::{Incarnation, LogPosition, Lsn, Name, Term},
     member::{Datagram, MemberState, MemberView, Payload},
-    peer::{Class, Outcome, PeerMsg, Question, Reply, Request, Served, TxnState},
+    peer::{Class, OperatorQuery, Outcome, PeerMsg, Reply, Request, ServedBy, TxnState},
     plan::{Intent, Plan, PlanState, Step, StepState},
     revision::Revision,
     status::{Decision, GroupStatus, InstanceStatus, MemberStatus, ServerStatus},
--- a/crates/proto/src/member.rs
+++ b/crates/proto/src/member.rs
@@ -50,7 +50,8 @@
     /// Hash over all facts of the sender.
     pub facts: u64,
     /// Piggybacked membership updates.
-    pub news: Vec<MemberView>,
+    #[serde(rename = "news")]
+    pub updates: Vec<MemberView>,
     /// Message of the datagram.
     pub body: Payload,
 }
@@ -71,7 +72,8 @@
         about: Name,
     },
     /// Indirect probe: the receiver pings another member for the sender.
-    PingFor {
+    #[serde(rename = "PingFor")]
+    PingReq {
         /// Sequence number, repeated in the answer.
         seq: u64,
         /// Member to ping.
--- a/crates/proto/src/peer.rs
+++ b/crates/proto/src/peer.rs
@@ -1,7 +1,7 @@
 //! Statements and control requests on the link between two instances.
 
 use {
-    crate::ids::{Mark, Name, Term},
+    crate::ids::{LogPosition, Name, Term},
     serde::{Deserialize, Serialize},
     strum::{Display, IntoStaticStr},
 };
@@ -50,7 +50,7 @@
     /// Set if the session has an open transaction at the receiver.
     pub pinned: bool,
     /// Minimum log position that a read has to reflect.
-    pub mark: Mark,
+    pub mark: LogPosition,
     /// Set if the session first needs every commit acknowledged up to now.
     pub barrier: bool,
     /// Maximum staleness of a read, in milliseconds.
@@ -96,7 +96,7 @@
 /// Role of the server that answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum Served {
+pub enum ServedBy {
     /// No server answered.
     #[default]
     None,
@@ -114,11 +114,11 @@
     /// Result of the request.
     pub outcome: Outcome,
     /// Log position that the session has observed.
-    pub mark: Mark,
+    pub mark: LogPosition,
     /// Transaction status after the request.
     pub txn: TxnState,
     /// Role of the server that answered.
-    pub served: Served,
+    pub served: ServedBy,
     /// Protocol messages for the caller, up to and including ReadyForQuery.
     pub frames: Vec<u8>,
 }
@@ -141,7 +141,8 @@
         stream: u64,
     },
     /// Keepalive for a sender whose requests are still running: the link and the receiver are healthy.
-    Beat,
+    #[serde(rename = "Beat")]
+    KeepAlive,
     /// Cancels the running batch of a session.
     Cancel {
         /// Id of the session.
@@ -155,14 +156,16 @@
         secret: i32,
     },
     /// Asks if the receiver reaches a primary of a group. The receiver probes the primary again before it replies.
-    Heard {
+    #[serde(rename = "Heard")]
+    ProbePrimary {
         /// Query id, repeated in the reply.
         id: u64,
         /// Name of the group.
         group: Name,
     },
-    /// Reply to [`PeerMsg::Heard`].
-    HeardReply {
+    /// Reply to [`PeerMsg::ProbePrimary`].
+    #[serde(rename = "HeardReply")]
+    ProbePrimaryReply {
         /// Id of the query.
         id: u64,
         /// Term of the primary that answered the probe; none if no primary answered.
@@ -171,7 +174,8 @@
         stalled: bool,
     },
     /// Asks a home instance to queue new work for the primary.
-    Hold {
+    #[serde(rename = "Hold")]
+    PauseWrites {
         /// Query id, repeated in the reply.
         id: u64,
         /// Name of the group.
@@ -179,34 +183,39 @@
         /// Maximum duration of the pause, in milliseconds.
         ms: u32,
     },
-    /// Reply to [`PeerMsg::Hold`], sent once no transaction is open or the time is over.
-    Held {
+    /// Reply to [`PeerMsg::PauseWrites`], sent once no transaction is open or the time is over.
+    #[serde(rename = "Held")]
+    WritesPaused {
         /// Id of the query.
         id: u64,
         /// Number of transactions still open.
         open: u32,
     },
     /// Ends a pause.
-    Release {
+    #[serde(rename = "Release")]
+    ResumeWrites {
         /// Name of the group.
         group: Name,
     },
     /// Forwarded query of an operator.
-    Ask {
+    #[serde(rename = "Ask")]
+    Query {
         /// Query id, repeated in the reply.
         id: u64,
         /// Forwarded query.
-        question: Question,
+        question: OperatorQuery,
     },
-    /// Reply to [`PeerMsg::Ask`], encoded as JSON.
-    Told {
+    /// Reply to [`PeerMsg::Query`], encoded as JSON.
+    #[serde(rename = "Told")]
+    QueryReply {
         /// Id of the query.
         id: u64,
         /// Result as JSON.
         json: String,
     },
     /// Asks a home instance for some of the terms that it has reserved in advance.
-    Terms {
+    #[serde(rename = "Terms")]
+    ReserveTerms {
         /// Query id, repeated in the reply.
         id: u64,
         /// Name of the group.
@@ -214,8 +223,9 @@
         /// Highest term known to the sender. Only higher terms are useful.
         known: Term,
     },
-    /// Reply to [`PeerMsg::Terms`].
-    TermsReply {
+    /// Reply to [`PeerMsg::ReserveTerms`].
+    #[serde(rename = "TermsReply")]
+    ReserveTermsReply {
         /// Id of the query.
         id: u64,
         /// Half-open range of terms, now owned by the asking instance alone; none if the receiver has none to spare.
@@ -225,7 +235,7 @@
 
 /// Query of an operator that one instance forwards to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Question {
+pub enum OperatorQuery {
     /// Requests the [`crate::status::InstanceStatus`] of the receiver.
     Status,
     /// Requests the recorded decisions of the receiver.
--- a/crates/proto/src/revision.rs
+++ b/crates/proto/src/revision.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns a number that is higher for a newer state.
-    pub fn order(self) -> u64 {
+    pub fn as_u64(self) -> u64 {
         self.0
     }
 }
--- a/crates/proto/src/status.rs
+++ b/crates/proto/src/status.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        ids::{Lsn, Mark, Name, Term},
+        ids::{LogPosition, Lsn, Name, Term},
         member::MemberState,
     },
     serde::{Deserialize, Serialize},
@@ -35,11 +35,12 @@
     /// Term of the server.
     pub term: Term,
     /// End of the log of the server, with the term of the last entry.
-    pub received: Mark,
+    pub received: LogPosition,
     /// Log position that reads on the server reflect.
     pub applied: Lsn,
     /// Time since the last contact with the server, in milliseconds; none before the first contact.
-    pub heard_ms: Option<u64>,
+    #[serde(rename = "heard_ms")]
+    pub last_contact_ms: Option<u64>,
     /// Number of open connections from this instance.
     pub connections: u32,
     /// Maximum number of connections from this instance.
--- a/crates/proto/tests/group.rs
+++ b/crates/proto/tests/group.rs
@@ -14,7 +14,7 @@
 fn example_is_valid() {
     let spec = GroupSpec::parse(example().as_bytes()).expect("the example is valid");
     assert_eq!((spec.majority(), spec.policy), (2, ReadPolicy::MaxAge { ms: 2_000 }));
-    assert_eq!(spec.server("parts-1"), Some(1));
+    assert_eq!(spec.server_index("parts-1"), Some(1));
 }
 
 #[test]
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -383,7 +383,7 @@
                 if !g.servers.iter().any(|s| s.role == "primary") {
                     return Some(format!("{} sees no primary of {}", it.name, g.name));
                 }
-                if g.servers.iter().any(|s| s.heard_ms.is_none()) {
+                if g.servers.iter().any(|s| s.last_contact_ms.is_none()) {
                     return Some(format!("{} has not heard all servers of {}", it.name, g.name));
                 }
                 if g.grants == 0 {
--- a/crates/testbed/src/db/contract.rs
+++ b/crates/testbed/src/db/contract.rs
@@ -2,7 +2,7 @@
 
 use {
     pondtrack_edge::contract::Role,
-    pondtrack_proto::{Lsn, Mark, Term},
+    pondtrack_proto::{LogPosition, Lsn, Term},
     snafu::Snafu,
 };
 
@@ -38,15 +38,15 @@
 
 impl Contract {
     /// The last entry.
-    pub fn last(&self) -> Mark {
+    pub fn last(&self) -> LogPosition {
         self.entry(Lsn(self.log.len() as u64))
     }
 
     /// An entry's mark; that of position 0, or of one beyond the end, has term 0.
-    pub fn entry(&self, lsn: Lsn) -> Mark {
+    pub fn entry(&self, lsn: Lsn) -> LogPosition {
         let at = (lsn.0 as usize).checked_sub(1);
         let term = at.and_then(|at| self.log.get(at)).copied().unwrap_or_default();
-        Mark { term, lsn }
+        LogPosition { term, lsn }
     }
 
     /// Takes nothing from a lower term any longer.
--- a/crates/testbed/src/db/mod.rs
+++ b/crates/testbed/src/db/mod.rs
@@ -18,7 +18,7 @@
 use {
     contract::Contract,
     pondtrack_edge::contract::{Position, Role},
-    pondtrack_proto::{Lsn, Mark, Term},
+    pondtrack_proto::{LogPosition, Lsn, Term},
     session::Live,
     std::{
         cell::{Cell, RefCell},
@@ -186,7 +186,7 @@
 
     /// Writes the first entry of a term, which the contract has appended.
     fn begin_term(&self) {
-        let Mark { term, lsn } = self.contract.borrow().last();
+        let LogPosition { term, lsn } = self.contract.borrow().last();
         let entry = Arc::new(Entry { lsn, term, body: Vec::new() });
         self.store.borrow_mut().receive(std::slice::from_ref(&entry)).expect("the stand-in's disk works");
         self.entries.borrow_mut().push(entry);
@@ -243,7 +243,7 @@
     }
 
     /// The term of an entry, as a mark.
-    pub fn entry(&self, lsn: Lsn) -> Mark {
+    pub fn entry(&self, lsn: Lsn) -> LogPosition {
         self.contract.borrow().entry(lsn)
     }
 }
--- a/crates/testbed/src/forget.rs
+++ b/crates/testbed/src/forget.rs
@@ -9,7 +9,7 @@
 use {
     self::view::{Status, View},
     pondtrack_core::claim::Claim,
-    pondtrack_proto::{Lsn, Mark, Term},
+    pondtrack_proto::{LogPosition, Lsn, Term},
     std::{
         collections::{HashSet, VecDeque},
         hash::{DefaultHasher, Hash, Hasher},
@@ -104,7 +104,7 @@
 impl Server {
     fn status(&self, asked: u64) -> Status {
         let term = self.log.last().map_or(0, |it| it.0);
-        let at = Mark::new(term.into(), self.log.len() as u64);
+        let at = LogPosition::new(term.into(), self.log.len() as u64);
         Status { primary: self.primary, term: self.term, at, stopped: self.stopped, asked }
     }
 }
@@ -137,7 +137,7 @@
     Stopping {
         old: usize,
         target: usize,
-        held: Mark,
+        held: LogPosition,
     },
     /// The order is given, to a run of the server; it may be carried out at any time.
     Ordered {
@@ -439,7 +439,7 @@
 }
 
 /// The other replica is stopped; where it has more than the next primary, it becomes that instead.
-fn stop(state: &State, (old, target, held): (usize, usize, Mark), out: &mut Steps) {
+fn stop(state: &State, (old, target, held): (usize, usize, LogPosition), out: &mut Steps) {
     let Some(other) = (0..SERVERS).find(|it| *it != old && *it != target) else { return };
     let mut next = state.clone();
     next.servers[other].stopped = true;
--- a/crates/testbed/src/forget/view.rs
+++ b/crates/testbed/src/forget/view.rs
@@ -7,7 +7,7 @@
         gate::Gate,
         recovery::{Recovery, Witness},
     },
-    pondtrack_proto::{Mark, Term},
+    pondtrack_proto::{LogPosition, Term},
 };
 
 /// A server's account of itself.
@@ -15,7 +15,7 @@
 pub(super) struct Status {
     pub(super) primary: bool,
     pub(super) term: u8,
-    pub(super) at: Mark,
+    pub(super) at: LogPosition,
     pub(super) stopped: bool,
     pub(super) asked: u64,
 }
--- a/crates/testbed/src/model.rs
+++ b/crates/testbed/src/model.rs
@@ -12,7 +12,7 @@
         switch::{Action, Switch, SwitchState},
     },
     pondtrack_edge::contract::Role,
-    pondtrack_proto::{Lsn, Mark, Term, TermRecord},
+    pondtrack_proto::{LogPosition, Lsn, Term, TermRecord},
     std::{
         collections::{HashSet, VecDeque},
         hash::{DefaultHasher, Hash, Hasher},
@@ -63,7 +63,7 @@
 /// A write of a home's writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Write {
-    at: Mark,
+    at: LogPosition,
     ticket: Option<Ticket>,
     acked: bool,
 }
@@ -77,7 +77,7 @@
     begun: u8,
     writes: Vec<Write>,
     /// A server as it was seen a while ago.
-    seen: Option<(usize, Role, Mark, Term)>,
+    seen: Option<(usize, Role, LogPosition, Term)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -87,7 +87,7 @@
     /// Orders that may be carried out at any time: the home, then what to do.
     orders: Vec<(usize, Action)>,
     /// Answers to fences that may arrive at any time.
-    answers: Vec<(usize, usize, Term, Mark)>,
+    answers: Vec<(usize, usize, Term, LogPosition)>,
     /// Every term's primary, ever.
     primaries: Vec<(Term, usize)>,
     /// Servers that forgot.
@@ -149,7 +149,7 @@
         let mut gate = Gate::new(SERVERS, bounds.gate);
         gate.begin(Term(1));
         for server in 0..SERVERS {
-            gate.observe(server, Term(1), Mark::new(1, 1));
+            gate.observe(server, Term(1), LogPosition::new(1, 1));
         }
         homes.push(Home { gate, grants, switch: None, begun: 0, writes: Vec::new(), seen: None });
     }
@@ -212,7 +212,7 @@
         }
         let mut next = state.clone();
         let lsn = next.servers[server].append();
-        let at = Mark { term: next.servers[server].term, lsn };
+        let at = LogPosition { term: next.servers[server].term, lsn };
         let it = &mut next.homes[home];
         // The answer to a write shows the primary's position.
         begin_term(it, at.term);
@@ -235,7 +235,7 @@
     }
 }
 
-fn settle(home: &mut Home, server: usize, term: Term, last: Mark) {
+fn settle(home: &mut Home, server: usize, term: Term, last: LogPosition) {
     for ticket in home.gate.observe(server, term, last) {
         for it in home.writes.iter_mut().filter(|it| it.ticket == Some(ticket)) {
             it.ticket = None;
@@ -272,7 +272,7 @@
     }
 }
 
-fn learn(home: &mut Home, (server, role, last, term): (usize, Role, Mark, Term)) {
+fn learn(home: &mut Home, (server, role, last, term): (usize, Role, LogPosition, Term)) {
     if role == Role::Primary {
         begin_term(home, term);
     }
