--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -294,7 +294,7 @@
     /// Takes a datagram.
     pub fn receive(&mut self, now: Time, gram: Datagram) -> Output {
         let mut out = Output::default();
-        let Datagram { from, facts, news, body } = gram;
+        let Datagram { from, facts, updates: news, body } = gram;
         if from.name == self.local.name {
             return out;
         }
@@ -316,7 +316,7 @@
                 self.send(addr, Payload::Ack { seq, about }, &mut out);
             }
             Payload::Ack { seq, about } => self.acked(seq, about, &mut out),
-            Payload::PingFor { seq, addr: to, .. } => {
+            Payload::PingReq { seq, addr: to, .. } => {
                 self.seq += 1;
                 let until = now + self.config.direct_timeout + self.config.indirect_timeout;
                 self.errands.push(Errand { seq: self.seq, origin: addr, asked: seq, until });
@@ -409,7 +409,7 @@
         helpers.sort_unstable();
         for (_, _, to) in helpers.into_iter().take(self.config.indirect_probes) {
             let (seq, target) = (probe.seq, probe.target.clone());
-            self.send(to, Payload::PingFor { seq, target, addr }, out);
+            self.send(to, Payload::PingReq { seq, target, addr }, out);
         }
         self.send(addr, Payload::Ping { seq: probe.seq }, out);
         self.probes.push(Probe {
@@ -611,7 +611,7 @@
     }
 
     fn datagram(&self, news: Vec<MemberView>, body: Payload) -> Datagram {
-        Datagram { from: self.local.clone(), facts: self.facts.hash(), news, body }
+        Datagram { from: self.local.clone(), facts: self.facts.hash(), updates: news, body }
     }
 }
 
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::state_chart::StateChart,
-    pondtrack_proto::{Mark, Term},
+    pondtrack_proto::{LogPosition, Term},
     std::sync::LazyLock,
     strum::{Display, EnumIter, EnumString, IntoStaticStr},
 };
@@ -91,7 +91,7 @@
     /// The server selected for promotion.
     pub candidate: Option<usize>,
     /// Fenced servers with the last entries of their logs, sorted by server.
-    pub fenced: Vec<(usize, Mark)>,
+    pub fenced: Vec<(usize, LogPosition)>,
     quorum: usize,
     preferred: Option<usize>,
     avoided: Vec<usize>,
@@ -121,7 +121,7 @@
     }
 
     /// Handles the fencing of a server in `term`, with `last` the last entry of its log.
-    pub fn on_fenced(&mut self, server: usize, term: Term, last: Mark) -> Vec<Action> {
+    pub fn on_fenced(&mut self, server: usize, term: Term, last: LogPosition) -> Vec<Action> {
         if term != self.term {
             return Vec::new();
         }
@@ -175,7 +175,7 @@
 
     /// Returns the fenced server with the highest log; among equals the preferred server, then one that isn't avoided.
     fn select_candidate(&self) -> usize {
-        let rank = |f: &(usize, Mark)| {
+        let rank = |f: &(usize, LogPosition)| {
             (f.1, self.preferred == Some(f.0), !self.avoided.contains(&f.0), std::cmp::Reverse(f.0))
         };
         self.fenced.iter().max_by_key(|f| rank(f)).map(|f| f.0).expect("a majority is fenced")
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -10,7 +10,7 @@
 
 use {
     crate::Time,
-    pondtrack_proto::{Mark, Term},
+    pondtrack_proto::{LogPosition, Term},
 };
 
 /// Recovery state of a restarted server.
@@ -23,7 +23,7 @@
     /// The newest term known when the server was first reached.
     first_term: Option<Term>,
     /// The primary's position after the restart.
-    goal: Option<Mark>,
+    goal: Option<LogPosition>,
     /// True if a replica has received everything up to the goal.
     recovered: bool,
 }
@@ -52,14 +52,14 @@
     }
 
     /// Records the primary's position `at`, given in the response to a query sent at `asked`.
-    pub fn observe_primary(&mut self, at: Mark, asked: Time) {
+    pub fn observe_primary(&mut self, at: LogPosition, asked: Time) {
         if asked >= self.restarted_at {
             self.goal = self.goal.or(Some(at));
         }
     }
 
     /// Records that the log of a replica of the newest primary ends at `at`.
-    pub fn observe_replica(&mut self, at: Mark) {
+    pub fn observe_replica(&mut self, at: LogPosition) {
         self.recovered |= self.goal.is_some_and(|goal| at >= goal);
     }
 
--- a/crates/core/tests/recovery.rs
+++ b/crates/core/tests/recovery.rs
@@ -10,7 +10,7 @@
         primary_claim::{ClaimStatus, PrimaryClaim},
         recovery::{Recovery, ReplicaReport},
     },
-    pondtrack_proto::{Lsn, Mark, Term},
+    pondtrack_proto::{LogPosition, Lsn, Term},
     rstest::rstest,
 };
 
@@ -61,16 +61,16 @@
 #[test]
 fn recovered_once_a_replica_reaches_the_primary_position_after_the_restart() {
     let mut recovery = restarted(1_000, 3);
-    recovery.observe_primary(Mark::new(3, 7), 999);
-    recovery.observe_replica(Mark::new(3, 9));
+    recovery.observe_primary(LogPosition::new(3, 7), 999);
+    recovery.observe_replica(LogPosition::new(3, 9));
     assert!(!recovery.is_recovered(), "the query was sent before the restart");
-    recovery.observe_primary(Mark::new(3, 8), 1_000);
-    recovery.observe_primary(Mark::new(3, 20), 1_050);
-    recovery.observe_replica(Mark::new(3, 7));
+    recovery.observe_primary(LogPosition::new(3, 8), 1_000);
+    recovery.observe_primary(LogPosition::new(3, 20), 1_050);
+    recovery.observe_replica(LogPosition::new(3, 7));
     assert!(!recovery.is_recovered());
-    recovery.observe_replica(Mark::new(2, 30));
+    recovery.observe_replica(LogPosition::new(2, 30));
     assert!(!recovery.is_recovered(), "the log ends in an earlier term");
-    recovery.observe_replica(Mark::new(3, 8));
+    recovery.observe_replica(LogPosition::new(3, 8));
     assert!(recovery.is_recovered());
 }
 
@@ -111,14 +111,14 @@
 fn reports_from_before_a_restart_do_not_count() {
     let mut gate = CommitGate::new(2, 1);
     gate.begin_term(Term(1));
-    gate.observe(1, Term(1), Mark::new(1, 12));
+    gate.observe(1, Term(1), LogPosition::new(1, 12));
     assert_eq!(gate.request_ack(Term(1), Lsn(12)), AckStatus::Ready);
     gate.reset_server(1);
     assert!(matches!(gate.request_ack(Term(1), Lsn(12)), AckStatus::Pending(_)));
     let mut fresh = Freshness::new(2, 1);
-    fresh.observe(Term(1), Mark::new(1, 12), 50);
+    fresh.observe(Term(1), LogPosition::new(1, 12), 50);
     fresh.begin_term(Term(1));
-    fresh.observe(Term(1), Mark::new(1, 12), 50);
+    fresh.observe(Term(1), LogPosition::new(1, 12), 50);
     fresh.confirm(1, Term(1), 60);
     assert!(fresh.required_position(40).is_some());
     fresh.reset_server(1);
