--- a/crates/core/src/commit_gate.rs
+++ b/crates/core/src/commit_gate.rs
@@ -40,7 +40,13 @@
 impl CommitGate {
     /// A gate over `servers` servers, of which `quorum` make a majority.
     pub fn new(servers: usize, quorum: usize) -> CommitGate {
-        CommitGate { quorum, term: Term(0), logs: vec![LogPosition::default(); servers], held: Vec::new(), next: 0 }
+        CommitGate {
+            quorum,
+            term: Term(0),
+            logs: vec![LogPosition::default(); servers],
+            held: Vec::new(),
+            next: 0,
+        }
     }
 
     /// Makes room for another server of the group.
