--- a/crates/core/src/decision_log.rs
+++ b/crates/core/src/decision_log.rs
@@ -1,31 +1,31 @@
-//! Recorded decisions with their evidence, for `pondtrack explain`.
+//! Log of decisions with their evidence, for `pondtrack explain`.
 
 use {
     pondtrack_proto::{Decision, Name},
     std::collections::VecDeque,
 };
 
-/// Decisions kept on an instance.
-const KEPT: usize = 1_000;
+/// Maximum number of decisions in the log of an instance.
+const MAX_DECISIONS: usize = 1_000;
 
-/// The decisions of one instance, oldest first.
+/// Decisions of one instance, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct DecisionLog {
-    list: VecDeque<Decision>,
+    decisions: VecDeque<Decision>,
 }
 
 impl DecisionLog {
-    /// Records a decision; the oldest is dropped when there are too many.
-    pub fn record(&mut self, it: Decision) {
-        if self.list.len() >= KEPT {
-            self.list.pop_front();
+    /// Records a decision. Drops the oldest one if the log is full.
+    pub fn record(&mut self, decision: Decision) {
+        if self.decisions.len() >= MAX_DECISIONS {
+            self.decisions.pop_front();
         }
-        self.list.push_back(it);
+        self.decisions.push_back(decision);
     }
 
-    /// The decisions about a subject, or all, oldest first.
+    /// Returns the decisions about a subject, or all decisions if `subject` is `None`, oldest first.
     pub fn by_subject(&self, subject: Option<&Name>) -> Vec<Decision> {
-        let wanted = |it: &&Decision| subject.is_none_or(|name| it.subject == *name);
-        self.list.iter().filter(wanted).cloned().collect()
+        let matches = |d: &&Decision| subject.is_none_or(|name| d.subject == *name);
+        self.decisions.iter().filter(matches).cloned().collect()
     }
 }
--- a/crates/core/src/delta.rs
+++ b/crates/core/src/delta.rs
@@ -1,4 +1,4 @@
-//! Which items of a sorted collection changed when, so that a new version of it can travel as a difference.
+//! Deltas between versions of a sorted collection, so that a new version can be sent without its unchanged items.
 
 use {
     pondtrack_proto::Name,
@@ -6,53 +6,53 @@
     std::cmp::Ordering,
 };
 
-/// Keys that a log remembers over all its versions. One that takes more falls back to whole copies: 4,000 keys take
-/// about 100 KB, and a difference of as many items is no smaller than most collections.
-const KEYS_MOST: usize = 4_000;
+/// Maximum number of keys in a log, over all its versions. Older versions are served as full copies: 4,000 keys take
+/// about 100 KB, and a delta with as many items is no smaller than most collections.
+const MAX_KEYS: usize = 4_000;
 
-/// How an item is named within its collection.
+/// Function that returns the key of an item within its collection.
 pub type KeyFn<T> = fn(&T) -> &Name;
 
-/// The difference between two versions of a sorted collection.
+/// Delta between two versions of a sorted collection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta<T> {
-    /// Items that are new or have changed, sorted by key.
+    /// Added and changed items, sorted by key.
     pub items: Vec<T>,
-    /// Keys of items that are gone, sorted.
+    /// Keys of removed items, sorted.
     #[serde(rename = "gone")]
     pub removed: Vec<Name>,
 }
 
 impl<T: Clone> Delta<T> {
-    /// The difference from nothing.
+    /// Returns the delta from an empty collection.
     pub fn full(items: &[T]) -> Delta<T> {
         Delta { items: items.to_vec(), removed: Vec::new() }
     }
 
-    /// What has become of these keys, which are sorted.
+    /// Returns the delta that brings the given keys, which are sorted, to their state in `items`.
     pub fn from_keys(keys: Vec<Name>, items: &[T], key: KeyFn<T>) -> Delta<T> {
-        let mut it = Delta { items: Vec::new(), removed: Vec::new() };
+        let mut delta = Delta { items: Vec::new(), removed: Vec::new() };
         for name in keys {
-            match items.binary_search_by(|it| key(it).cmp(&name)) {
-                Ok(at) => it.items.push(items[at].clone()),
-                Err(_) => it.removed.push(name),
+            match items.binary_search_by(|item| key(item).cmp(&name)) {
+                Ok(at) => delta.items.push(items[at].clone()),
+                Err(_) => delta.removed.push(name),
             }
         }
-        it
+        delta
     }
 
-    /// The collection after the change, sorted by key.
+    /// Returns the collection with the delta applied, sorted by key.
     pub fn apply(self, old: &[T], key: KeyFn<T>) -> Vec<T> {
         let mut out = Vec::with_capacity(old.len() + self.items.len());
         let mut new = self.items.into_iter().peekable();
-        for it in old {
-            while let Some(item) = new.next_if(|item| key(item) < key(it)) {
+        for old_item in old {
+            while let Some(item) = new.next_if(|item| key(item) < key(old_item)) {
                 out.push(item);
             }
-            match new.next_if(|item| key(item) == key(it)) {
+            match new.next_if(|item| key(item) == key(old_item)) {
                 Some(item) => out.push(item),
-                None if self.removed.binary_search(key(it)).is_ok() => {}
-                None => out.push(it.clone()),
+                None if self.removed.binary_search(key(old_item)).is_ok() => {}
+                None => out.push(old_item.clone()),
             }
         }
         out.extend(new);
@@ -60,7 +60,7 @@
     }
 }
 
-/// Keys of the items that differ between two sorted collections, sorted.
+/// Returns the keys of the items that differ between two sorted collections, sorted.
 pub fn changed_keys<T: PartialEq>(old: &[T], new: &[T], key: KeyFn<T>) -> Vec<Name> {
     let mut keys = Vec::new();
     let (mut old, mut new) = (old.iter().peekable(), new.iter().peekable());
@@ -74,40 +74,40 @@
         let before = old.next_if(|_| order.is_le());
         let after = new.next_if(|_| order.is_ge());
         if before != after {
-            keys.extend(before.or(after).map(|it| key(it).clone()));
+            keys.extend(before.or(after).map(|item| key(item).clone()));
         }
     }
 }
 
-/// Which keys were touched by which version of a collection.
+/// Log of the keys changed by each version of a collection.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
-    /// The first version that is known; none before any is.
+    /// Oldest version from which changes are known. `None` before the first version is recorded.
     base: Option<u64>,
-    /// Versions since then, in order, with the keys that they touched.
-    steps: Vec<(u64, Vec<Name>)>,
+    /// Later versions in ascending order, with the keys that each changed.
+    changes: Vec<(u64, Vec<Name>)>,
 }
 
 impl ChangeLog {
-    /// A version has touched these keys, which are sorted. The first one counts as a beginning, whatever it touched.
+    /// Records a version and its changed keys, which are sorted. The first version only sets the base of the log.
     pub fn record(&mut self, version: u64, keys: Vec<Name>) {
         if self.base.is_none() {
             self.base = Some(version);
             return;
         }
-        self.steps.push((version, keys));
-        while self.steps.iter().map(|it| it.1.len()).sum::<usize>() > KEYS_MOST {
-            self.base = Some(self.steps.remove(0).0);
+        self.changes.push((version, keys));
+        while self.changes.iter().map(|change| change.1.len()).sum::<usize>() > MAX_KEYS {
+            self.base = Some(self.changes.remove(0).0);
         }
     }
 
-    /// Keys touched after a version, sorted; none where the log doesn't reach back as far.
+    /// Returns the keys changed after a version, sorted, or `None` if the version is older than the log.
     pub fn changed_since(&self, version: u64) -> Option<Vec<Name>> {
-        if self.base.is_none_or(|it| it > version) {
+        if self.base.is_none_or(|base| base > version) {
             return None;
         }
-        let later = self.steps.iter().filter(|it| it.0 > version);
-        let mut keys: Vec<Name> = later.flat_map(|it| it.1.iter().cloned()).collect();
+        let later = self.changes.iter().filter(|change| change.0 > version);
+        let mut keys: Vec<Name> = later.flat_map(|change| change.1.iter().cloned()).collect();
         keys.sort_unstable();
         keys.dedup();
         Some(keys)
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,8 +1,8 @@
-//! Versioned facts, pushes and digests.
+//! Gossip of versioned facts: push and anti-entropy.
 //!
-//! A fact is accepted only at a higher version of the platform's, so nothing reverts whoever tells it.
-//! News are pushed at once to a few peers, each of which pushes what is new to it; what a push missed is
-//! found by comparing hashes, which travel with the probes of [`crate::member`].
+//! A fact is accepted only with a higher version, which the platform assigns, so no peer can revert it. New facts are
+//! pushed immediately to a few peers, each of which pushes the facts that are new to it. Facts missed by a push are
+//! found by comparing hashes, which are sent with the probes of [`crate::member`].
 
 use {
     pondtrack_proto::{BUCKETS, Digest, Fact, FactKey, FactKind, MemberView, Payload},
@@ -10,26 +10,26 @@
     strum::{Display, EnumString, IntoStaticStr},
 };
 
-/// Peers to which news are pushed.
+/// Number of peers to which new facts are pushed.
 pub const FANOUT: usize = 4;
-/// Bytes of facts put into one datagram, a single larger fact excepted.
-const DATAGRAM: usize = 1_200;
-/// Keys put into one list of versions.
-const KEYS: usize = 400;
+/// Maximum size of the facts in one datagram, in bytes. A single larger fact is sent alone.
+const MAX_DATAGRAM: usize = 1_200;
+/// Maximum number of keys in one message. A bucket isn't split, so a list of versions may exceed it by one bucket.
+const MAX_KEYS: usize = 400;
 
-/// How peers for a push are chosen.
+/// Method of selecting the peers for a push.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum PeerSelection {
-    /// Any members with the same chance.
+    /// Uniform selection among all members.
     #[default]
     Uniform,
-    /// Half from the own group of about the square root of the fleet, half from elsewhere; after the
-    /// affinity groups of Rowaihy et al., "A Churn-Resistant Peer-to-Peer Web Caching System".
+    /// Half from the instance's own group, which has about the square root of the fleet's size, half from other groups.
+    /// Follows the affinity groups of Rowaihy et al., "A Churn-Resistant Peer-to-Peer Web Caching System".
     Groups,
 }
 
-/// The facts of one instance.
+/// Facts stored by one instance.
 #[derive(Clone, Debug)]
 pub struct FactStore {
     facts: Vec<Fact>,
@@ -43,39 +43,39 @@
 }
 
 impl FactStore {
-    /// All facts, sorted by key.
+    /// Returns all facts, sorted by key.
     pub fn facts(&self) -> &[Fact] {
         &self.facts
     }
 
-    /// Facts of one kind.
+    /// Returns the facts of one kind.
     pub fn of_kind(&self, kind: FactKind) -> impl Iterator<Item = &Fact> {
-        let from = self.facts.partition_point(|it| it.key.kind < kind);
-        self.facts[from..].iter().take_while(move |it| it.key.kind == kind)
+        let from = self.facts.partition_point(|f| f.key.kind < kind);
+        self.facts[from..].iter().take_while(move |f| f.key.kind == kind)
     }
 
-    /// One fact.
+    /// Returns the fact with a key.
     pub fn get(&self, key: &FactKey) -> Option<&Fact> {
         let at = self.find(key).ok()?;
         Some(&self.facts[at])
     }
 
-    /// The version of a fact; 0 when it is unknown.
+    /// Returns the version of a fact, or 0 if the fact is unknown.
     pub fn version(&self, key: &FactKey) -> u64 {
-        self.get(key).map_or(0, |it| it.version)
+        self.get(key).map_or(0, |f| f.version)
     }
 
-    /// The hash over all facts.
+    /// Returns the hash of all facts.
     pub fn hash(&self) -> u64 {
-        self.buckets.iter().fold(0, |sum, it| sum.rotate_left(1) ^ it)
+        self.buckets.iter().fold(0, |sum, bucket| sum.rotate_left(1) ^ bucket)
     }
 
-    /// The digest that is compared bucket by bucket.
+    /// Returns the digest, with one hash for each bucket.
     pub fn digest(&self) -> Digest {
         Digest { buckets: self.buckets.to_vec() }
     }
 
-    /// Takes a fact; hands back whether it is news.
+    /// Stores a fact if its version is higher than the stored one. Returns true if it was stored.
     pub fn accept(&mut self, fact: Fact) -> bool {
         let at = self.find(&fact.key);
         let bucket = fact.key.bucket();
@@ -95,7 +95,8 @@
         true
     }
 
-    /// Answers a digest: the versions in every bucket that differs.
+    /// Returns the response to a digest: the versions of the facts in buckets that differ, or `None` if no bucket
+    /// differs or the digest is malformed.
     pub fn compare(&self, theirs: &Digest) -> Option<Payload> {
         if theirs.buckets.len() != BUCKETS {
             return None;
@@ -104,78 +105,79 @@
         let mut keys = Vec::new();
         let mut buckets = Vec::new();
         for n in (0..BUCKETS).filter(differs) {
-            if keys.len() >= KEYS {
+            if keys.len() >= MAX_KEYS {
                 break;
             }
             buckets.push(n as u8);
-            let here = self.facts.iter().filter(|it| it.key.bucket() == n);
-            keys.extend(here.map(|it| (it.key.clone(), it.version)));
+            let own = self.facts.iter().filter(|f| f.key.bucket() == n);
+            keys.extend(own.map(|f| (f.key.clone(), f.version)));
         }
         (!buckets.is_empty()).then_some(Payload::Versions { keys, buckets })
     }
 
-    /// Answers a list of versions: what is newer here, and a wish for what is newer there.
+    /// Returns the response to a list of versions: the facts that are newer here, and requests for those that are newer
+    /// at the sender.
     pub fn diff(&self, keys: &[(FactKey, u64)], buckets: &[u8]) -> Vec<Payload> {
         let mut theirs = keys.to_vec();
         theirs.sort();
-        let known = |key: &FactKey| theirs.binary_search_by(|it| it.0.cmp(key)).map_or(0, |at| theirs[at].1);
-        let covered = self.facts.iter().filter(|it| buckets.contains(&(it.key.bucket() as u8)));
-        let newer = covered.filter(|it| it.version > known(&it.key)).cloned().collect();
+        let known = |key: &FactKey| theirs.binary_search_by(|t| t.0.cmp(key)).map_or(0, |at| theirs[at].1);
+        let covered = self.facts.iter().filter(|f| buckets.contains(&(f.key.bucket() as u8)));
+        let newer = covered.filter(|f| f.version > known(&f.key)).cloned().collect();
         let mut out = pack(newer);
         let want: Vec<FactKey> =
-            theirs.iter().filter(|it| it.1 > self.version(&it.0)).map(|it| it.0.clone()).collect();
-        out.extend(want.chunks(KEYS).map(|it| Payload::Want { keys: it.to_vec() }));
+            theirs.iter().filter(|t| t.1 > self.version(&t.0)).map(|t| t.0.clone()).collect();
+        out.extend(want.chunks(MAX_KEYS).map(|keys| Payload::Want { keys: keys.to_vec() }));
         out
     }
 
-    /// Answers a wish.
+    /// Returns the requested facts.
     pub fn fetch(&self, keys: &[FactKey]) -> Vec<Payload> {
-        pack(keys.iter().filter_map(|it| self.get(it)).cloned().collect())
+        pack(keys.iter().filter_map(|key| self.get(key)).cloned().collect())
     }
 
     fn find(&self, key: &FactKey) -> Result<usize, usize> {
-        self.facts.binary_search_by(|it| it.key.cmp(key))
+        self.facts.binary_search_by(|f| f.key.cmp(key))
     }
 }
 
-/// Puts facts into as few messages as their size allows.
+/// Packs facts in order into messages of at most one datagram each.
 pub fn pack(facts: Vec<Fact>) -> Vec<Payload> {
     let mut out = Vec::new();
-    let mut some = Vec::new();
+    let mut batch = Vec::new();
     let mut size = 0;
-    for it in facts {
-        let n = it.value.len() + it.key.name.len() + 16;
-        if size + n > DATAGRAM && !some.is_empty() {
-            out.push(Payload::Facts { facts: std::mem::take(&mut some) });
+    for fact in facts {
+        let n = fact.value.len() + fact.key.name.len() + 16;
+        if size + n > MAX_DATAGRAM && !batch.is_empty() {
+            out.push(Payload::Facts { facts: std::mem::take(&mut batch) });
             size = 0;
         }
         size += n;
-        some.push(it);
+        batch.push(fact);
     }
-    if !some.is_empty() {
-        out.push(Payload::Facts { facts: some });
+    if !batch.is_empty() {
+        out.push(Payload::Facts { facts: batch });
     }
     out
 }
 
-/// Chooses the peers for a push among members other than oneself.
+/// Selects the peers for a push. `members` doesn't include the instance itself, whose name is `me`.
 pub fn select_peers<'a>(
-    choice: PeerSelection,
+    selection: PeerSelection,
     me: &str,
     members: &[&'a MemberView],
     rng: &mut impl Rng,
 ) -> Vec<&'a MemberView> {
-    match choice {
+    match selection {
         PeerSelection::Uniform => sample(members.to_vec(), FANOUT, rng),
         PeerSelection::Groups => {
             let groups = (members.len() as f64 + 1.0).sqrt().round().max(1.0) as u64;
             let group = |name: &str| crate::place::weight("group", name) % groups;
-            let mine = group(me);
-            let (near, far): (Vec<&MemberView>, Vec<&MemberView>) =
-                members.iter().partition(|it| group(&it.name) == mine);
-            let mut out = sample(near, FANOUT / 2, rng);
+            let own = group(me);
+            let (local, remote): (Vec<&MemberView>, Vec<&MemberView>) =
+                members.iter().partition(|m| group(&m.name) == own);
+            let mut out = sample(local, FANOUT / 2, rng);
             let rest = FANOUT - out.len();
-            out.extend(sample(far, rest, rng));
+            out.extend(sample(remote, rest, rng));
             out
         }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,47 +1,47 @@
-//! Decisions of pondtrack, free of I/O.
+//! Decision logic of pondtrack, free of I/O.
 //!
-//! Time is passed in as milliseconds of a local monotonic clock, randomness comes from a seed, and what
-//! has to be done is handed back to the caller. The same code runs in `pondtrackd`, under seeded
-//! schedules and in the model checker.
+//! The caller passes in the time, as milliseconds of a local monotonic clock, and seeds the randomness. Actions to be
+//! taken are returned to the caller. The same code runs in `pondtrackd`, under seeded schedules and in the model
+//! checker.
 //!
-//! What must hold:
+//! Safety:
 //!
-//! | module | holds |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`gate`] | acknowledgements wait for a majority |
 //! | [`switch`] | fencing a majority and promoting one server |
 //! | [`grant`] | terms taken ahead of need |
-//! | [`leader`] | who leads a term whose primary gives no answer |
-//! | [`lease`] | which instance may give orders |
+//! | [`leader`] | leader of a term whose primary doesn't respond |
+//! | [`lease`] | lease of the instance that may order promotions |
 //! | [`claim`] | whether a primary holds what its replicas have received |
-//! | [`recovery`] | what a server counts for that came back with nothing |
+//! | [`recovery`] | recovery of a server that restarted without its data |
 //! | [`detect`] | when a primary is given up |
 //! | [`fresh`] | how old a replica's answer is |
-//! | [`request_key`] | keys of requests that run once at most |
-//! | [`token`] | what a session carries between instances |
+//! | [`request_key`] | idempotency keys of requests that run at most once |
+//! | [`token`] | session tokens, with which a session continues on another instance |
 //!
-//! What makes it fast, fair and bounded:
+//! Performance, fairness and limits:
 //!
-//! | module | holds |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`classify`] | what a statement needs |
-//! | [`route`] | which server answers a read |
-//! | [`balance`] | what a server costs at present |
+//! | [`classify`] | classification of statements |
+//! | [`route`] | selection of the server for a read |
+//! | [`balance`] | load balancing by the current cost of each server |
 //! | [`place`] | home instances and their shares of connections |
 //! | [`cadence`] | how often instances call the store |
-//! | [`capacity`] | what an instance can carry |
+//! | [`capacity`] | capacity of an instance |
 //! | [`admit`] | queues, fairness and learned limits |
-//! | [`budget`] | how long a statement may wait before a server has it |
-//! | [`quota`] | usage limits of organisations over all instances |
+//! | [`budget`] | time budget of a statement before it is sent to a server |
+//! | [`quota`] | usage limits of organisations across all instances |
 //! | [`turn`] | who runs next at a server that has too much to do |
-//! | [`retry`] | budgets and backoff |
-//! | [`retry_after`] | when callers that were refused may come back |
-//! | [`member`] | probes, suspicion, incarnations |
-//! | [`delta`] | what changed in a collection since a version |
-//! | [`gossip`] | versioned facts, pushes and digests |
-//! | [`plan`] | from an intent to steps |
+//! | [`retry`] | retry budgets and backoff |
+//! | [`retry_after`] | retry times of refused callers |
+//! | [`member`] | membership: probes, suspicion, incarnations |
+//! | [`delta`] | deltas between versions of a collection |
+//! | [`gossip`] | gossip of versioned facts: push and anti-entropy |
+//! | [`plan`] | plans that turn an operator's intent into steps |
 //!
-//! What they share: [`chart`] (state charts read from files), [`life`] (those of sessions and connections),
+//! Shared: [`chart`] (state charts read from files), [`life`] (state charts of sessions and connections),
 //! [`timer`], [`decision_log`].
 
 pub mod admit;
@@ -76,5 +76,5 @@
 pub mod token;
 pub mod turn;
 
-/// Milliseconds of a local monotonic clock.
+/// Time in milliseconds of a local monotonic clock.
 pub type Time = u64;
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,30 +1,33 @@
-//! Usage limits of organisations over all instances.
+//! Usage limits of organisations, enforced across all instances.
 //!
-//! An organisation's limit is a token bucket: so many operations a second, and a burst. Every instance owns an even
-//! share of every limit. A share of a few operations a minute serves nobody, so instances lend theirs, for a short
-//! term, to one that grants tokens to all: the [`Limiter`] of the organisation's slot. What is granted anywhere adds up
-//! to what shares have filled, whoever believes to be whose limiter and however the network is cut: a share fills in
-//! one place at a time.
+//! The limit of an organisation is a token bucket with a rate in operations per second and a burst. Every instance
+//! owns an equal share of every limit. The share of one instance may be only a few operations per minute, too little
+//! to serve callers, so instances lend their shares for a short time to a single instance, the [`Limiter`] of the
+//! organisation's hash slot, which grants tokens to all of them. A share fills only one bucket at a time. The sum of
+//! all grants is therefore bounded by what the shares have accrued, even if instances disagree about the limiter of a
+//! slot or the network is partitioned.
 //!
-//! | part | holds |
+//! | item | purpose |
 //! | --- | --- |
-//! | [`Lender`] | where the shares of an instance are |
-//! | [`Limiter`] | what was lent to an instance, and the buckets that it fills |
-//! | [`RenewalScheduler`] | when an instance speaks to which limiter, and for how long it lends |
-//! | [`Demand`] | what is claimed, and how urgent it is |
-//! | [`RetrySchedule`] | when those may come back that were refused |
+//! | [`Lender`] | loans of an instance's own shares |
+//! | [`Limiter`] | loans received by an instance, and the buckets that they fill |
+//! | [`RenewalScheduler`] | times of messages to limiters, and the duration of loans |
+//! | [`Demand`] | size and urgency of a claim |
+//! | [`RetrySchedule`] | times at which refused callers may retry |
 //!
-//! Where more is claimed than comes in, tokens are kept for more urgent operations, and a part for the least urgent ones.
-//! That only refuses, and changes nothing of what a bucket holds.
+//! If an organisation claims more tokens than accrue, tokens are reserved for more urgent operations, and a minimum for
+//! the least urgent ones. A reservation only refuses claims and never changes the level of a bucket.
 //!
-//! What must hold, in any window: tokens granted by all limiters together stay within the rate times the window, the
-//! burst, [`Limits::margin`], and the tokens that come in within [`MAX_DELAY`]. Each start of a limiter's process in the
-//! window adds the margin once more, and each start of a lender's the tokens of its share within a term of its earlier
-//! process, which may have been longer than the new one's, if that was with another than the usual limiter.
+//! Invariant: in any window, the tokens granted by all limiters together are at most the rate times the window, plus
+//! the burst, plus [`Limits::margin`], plus the tokens that accrue within [`MAX_DELAY`]. Each start of a limiter
+//! process in the window adds the margin once more. Each start of a lender process adds the tokens that its share
+//! accrues within one loan of the previous process if that process had lent the share to an instance other than the
+//! preferred limiter; loans of the previous process may have been longer than those of the new one.
 //!
-//! The term is [`MIN_LOAN_DURATION`], and longer in a large fleet. The lender names it in each message and counts it from the time it
-//! sends that, the limiter from the earlier moment that it told: the limiter's is over first, whatever the term. A
-//! lender's terms never fall, so that none of its messages can lend for longer than a later one.
+//! A loan lasts [`MIN_LOAN_DURATION`], and longer in a large fleet. The lender states the duration in each message
+//! and counts it from the time of sending. The limiter counts it from the earlier time that it had reported to the
+//! lender, so the loan always expires at the limiter first. The duration used by a lender never decreases, so no
+//! earlier message can lend a share for longer than a later one.
 
 mod grant;
 mod lender;
@@ -48,26 +51,27 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Organisations are dealt to so many slots, each with a limiter of its own. An instance speaks to as many others in each
-/// period of its [`RenewalScheduler`], whatever the fleet's size.
+/// Number of hash slots over which organisations are distributed. Each slot has its own limiter, so an instance sends
+/// messages to at most this number of others in each interval of its [`RenewalScheduler`], whatever the fleet's size.
 pub const SLOTS: usize = 8;
 
-/// How long a share is lent at least, in microseconds. A limiter that is lost takes its shares with it for as long.
+/// Minimum duration of a loan, in microseconds. The shares lent to a limiter that fails are unavailable for
+/// this long.
 pub const MIN_LOAN_DURATION: u64 = 1_500_000;
 
-/// A token may be granted this long before it comes in, in microseconds: its caller waits meanwhile, in order, in place
-/// of asking again.
+/// Maximum time by which a token is granted before it accrues, in microseconds. The caller waits in order during that
+/// time instead of retrying.
 pub const MAX_DELAY: u64 = 60_000;
 
 /// Microseconds in a second.
 const SECOND: f64 = 1e6;
 
-/// The slot of an organisation.
+/// Returns the hash slot of an organisation.
 pub fn slot(organisation: &str) -> usize {
     xxh3_64(organisation.as_bytes()) as usize % SLOTS
 }
 
-/// A set of slots.
+/// Set of hash slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotSet(u8);
 
@@ -77,32 +81,32 @@
         self.0 |= 1 << slot;
     }
 
-    /// Whether a slot is among them.
+    /// Returns true if the set contains the slot.
     pub fn contains(self, slot: usize) -> bool {
         self.0 & (1 << slot) != 0
     }
 
-    /// Whether there is none.
+    /// Returns true if the set contains no slot.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 }
 
-/// An organisation's limit.
+/// Limit of an organisation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Operations a second.
+    /// Operations per second.
     pub rate: f64,
-    /// Operations at once after a pause.
+    /// Operations that may run at once after a pause.
     pub burst: f64,
-    /// Operations above these that are tolerated, whatever the limit, for a full bucket and for each new limiter.
+    /// Operations tolerated above rate and burst, for a full bucket and for each new limiter. Independent of the limit.
     pub margin: f64,
 }
 
-/// A moment on a limiter's clock, which it alone can read.
+/// Time on the clock of one limiter. Other instances only store and return the value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timestamp {
-    /// Tells apart the processes that an instance has run as.
+    /// Identifier of the limiter's process, which differs after each restart of an instance.
     pub process: u64,
     /// Microseconds of that process's monotonic clock.
     pub at: u64,
--- a/crates/core/src/quota/grant.rs
+++ b/crates/core/src/quota/grant.rs
@@ -1,68 +1,69 @@
-//! What becomes of a claim.
+//! Results of claims.
 
 use {
     crate::retry_after::RetryAfter,
     serde::{Deserialize, Serialize},
 };
 
-/// No caller is told a later time than this, in microseconds: an hour.
+/// Maximum delay stated to a caller, in microseconds: one hour.
 pub const MAX_RETRY_AFTER: u64 = 3_600_000_000;
 
-/// The outcome of a claim.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
-    /// So many operations may run, after a pause in microseconds.
+    /// Some or all of the claimed operations may run.
     Granted {
-        /// Operations, as many as were asked for or fewer.
+        /// Number of operations that may run, at most the number claimed.
         count: u32,
-        /// The pause.
+        /// Delay before they may run, in microseconds.
         after: u64,
-        /// When the others may come back.
+        /// Retry times of the remaining operations.
         rest: RetrySchedule,
     },
-    /// None.
+    /// No operation may run.
     Refused(RetrySchedule),
 }
 
 impl Grant {
-    /// What a grant for several means for one of them.
+    /// Returns the result for the operation with index `n` of a claim for several.
     pub fn nth(self, n: u32) -> Grant {
         match self {
             Grant::Granted { count, rest, .. } if n >= count => Grant::Refused(rest.skip(n - count)),
-            Grant::Refused(places) => Grant::Refused(places.skip(n)),
+            Grant::Refused(schedule) => Grant::Refused(schedule.skip(n)),
             granted => granted,
         }
     }
 }
 
-/// When those who were refused together may come back. Times are microseconds from now.
+/// Retry times of operations that were refused together, in microseconds from now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetrySchedule {
-    /// There is room for the first one then.
+    /// Delay until the first retry.
     pub after: u64,
-    /// Between two of them.
+    /// Interval between two retries.
     pub step: u64,
-    /// Whether there are tokens, which are kept for others.
+    /// True if tokens are available but reserved for other operations.
     pub reserved: bool,
 }
 
 impl RetrySchedule {
-    /// The same time for all.
+    /// Returns a schedule in which all operations retry at the same time.
     pub const fn at(after: u64) -> RetrySchedule {
         RetrySchedule { after, step: 0, reserved: false }
     }
 
-    /// The same for those after the first ones.
+    /// Returns the schedule without its first `n` retries.
     pub fn skip(self, n: u32) -> RetrySchedule {
         let after = self.after.saturating_add(self.step.saturating_mul(n.into())).min(MAX_RETRY_AFTER);
         RetrySchedule { after, ..self }
     }
 
-    /// What one of them is told that has some time left, or any.
-    pub fn retry_after(self, n: u32, left: Option<u64>) -> RetryAfter {
+    /// Returns the retry time of the operation with index `n`, whose caller waits `remaining` microseconds at most, or
+    /// without a limit if that is `None`.
+    pub fn retry_after(self, n: u32, remaining: Option<u64>) -> RetryAfter {
         let RetrySchedule { after, .. } = self.skip(n);
-        match left {
-            Some(left) if after > left => RetryAfter::TooLate { after },
+        match remaining {
+            Some(remaining) if after > remaining => RetryAfter::TooLate { after },
             _ => RetryAfter::Room { after },
         }
     }
--- a/crates/core/src/quota/lender.rs
+++ b/crates/core/src/quota/lender.rs
@@ -1,74 +1,79 @@
-//! Where the shares of an instance are.
+//! Loans of the shares that an instance owns.
 
 use {
     super::{MAX_LOAN_DURATION, MIN_LOAN_DURATION, OfferReply, SLOTS, SlotSet},
     pondtrack_proto::Name,
 };
 
-/// Where the share of a slot's limits is.
+/// State of the share of one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Place {
-    /// With nobody.
+enum Share {
+    /// Not lent.
     Free,
-    /// For a term from a time perhaps where an earlier process of this instance has lent it.
+    /// Possibly lent by an earlier process of this instance, until one loan duration after `since`.
     Unknown { since: u64 },
-    /// With an instance, for all that this one knows, until a time.
-    Lent { to: Name, until: u64 },
+    /// Lent to an instance until a time, as far as this instance can know.
+    Held { by: Name, until: u64 },
 }
 
-/// The shares of one instance. Times are microseconds of its monotonic clock.
+/// Shares of one instance. Times are microseconds of its monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lender {
-    places: [Place; SLOTS],
-    /// How long shares are lent. It never falls: a message with a longer one may be under way.
-    term: u64,
+    shares: [Share; SLOTS],
+    /// Duration of loans. Never decreases, because a message with a longer duration may still be in flight.
+    duration: u64,
 }
 
 impl Lender {
-    /// An instance that has just started. Another process of it may have lent its shares until a moment ago.
+    /// Creates the lender of an instance that has just started. An earlier process of the instance may have lent its
+    /// shares until just before `now`.
     pub fn new(now: u64) -> Lender {
-        Lender { places: std::array::from_fn(|_| Place::Unknown { since: now }), term: MIN_LOAN_DURATION }
+        Lender { shares: std::array::from_fn(|_| Share::Unknown { since: now }), duration: MIN_LOAN_DURATION }
     }
 
-    /// The term of the loans that follow, which their messages name: at least so long, up to [`MAX_LOAN_DURATION`].
-    pub fn raise_duration(&mut self, least: u64) -> u64 {
-        self.term = self.term.max(least.min(MAX_LOAN_DURATION));
-        self.term
+    /// Raises the duration of subsequent loans to at least `min`, capped at [`MAX_LOAN_DURATION`], and returns the
+    /// duration to state in their messages.
+    pub fn raise_duration(&mut self, min: u64) -> u64 {
+        self.duration = self.duration.max(min.min(MAX_LOAN_DURATION));
+        self.duration
     }
 
-    /// Lends a slot's share to an instance, or goes on to; false where another one may still use it. `usual` says that
-    /// it is the one to which the share goes as long as all instances reach each other. An earlier process has most
-    /// probably lent to the same one, where its loan ends as this one begins: after the loss of all instances nobody
-    /// has to wait.
-    pub fn lend(&mut self, slot: usize, to: &Name, usual: bool, now: u64) -> bool {
-        let is_held = match &self.places[slot] {
-            Place::Free => false,
-            Place::Unknown { since } => !usual && since + self.term > now,
-            Place::Lent { to: it, until } => it != to && *until > now,
+    /// Lends the share of a slot to an instance or renews its loan. Returns false if another instance may still use
+    /// the share.
+    ///
+    /// `preferred` states that the instance is the limiter of the slot as long as all instances can reach each other.
+    /// An earlier process has most probably lent the share to the same instance, where the new loan replaces the old
+    /// one. A loan to the preferred limiter therefore doesn't wait, and operations are granted without delay after a
+    /// loss of all instances.
+    pub fn lend(&mut self, slot: usize, to: &Name, preferred: bool, now: u64) -> bool {
+        let is_held = match &self.shares[slot] {
+            Share::Free => false,
+            Share::Unknown { since } => !preferred && since + self.duration > now,
+            Share::Held { by, until } => by != to && *until > now,
         };
         if !is_held {
-            self.places[slot] = Place::Lent { to: to.clone(), until: now + self.term };
+            self.shares[slot] = Share::Held { by: to.clone(), until: now + self.duration };
         }
         !is_held
     }
 
-    /// Whether all shares are where they are meant to be.
-    pub fn is_placed(&self, meant: &[Name; SLOTS], now: u64) -> bool {
-        let placed = |(place, meant): (&Place, &Name)| match place {
-            Place::Lent { to, until } => to == meant && *until > now,
-            Place::Free | Place::Unknown { .. } => false,
+    /// Returns true if the share of each slot is lent to the limiter assigned to the slot.
+    pub fn is_placed(&self, assigned: &[Name; SLOTS], now: u64) -> bool {
+        let placed = |(share, assigned): (&Share, &Name)| match share {
+            Share::Held { by, until } => by == assigned && *until > now,
+            Share::Free | Share::Unknown { .. } => false,
         };
-        self.places.iter().zip(meant).all(placed)
+        self.shares.iter().zip(assigned).all(placed)
     }
 
-    /// The instances that may use a share, other than the ones that the slots are meant for, and have to be told that
-    /// they may not any longer.
-    pub fn stale_holders(&self, meant: &[Name; SLOTS], now: u64) -> Vec<Name> {
+    /// Returns the instances with an unexpired loan for a slot that is assigned to another limiter. They have to be
+    /// asked to release the share.
+    pub fn stale_holders(&self, assigned: &[Name; SLOTS], now: u64) -> Vec<Name> {
         let mut out: Vec<Name> = Vec::new();
-        for (place, meant) in self.places.iter().zip(meant) {
-            match place {
-                Place::Lent { to, until } if to != meant && *until > now => out.push(to.clone()),
-                Place::Lent { .. } | Place::Unknown { .. } | Place::Free => {}
+        for (share, assigned) in self.shares.iter().zip(assigned) {
+            match share {
+                Share::Held { by, until } if by != assigned && *until > now => out.push(by.clone()),
+                Share::Held { .. } | Share::Unknown { .. } | Share::Free => {}
             }
         }
         out.sort_unstable();
@@ -76,38 +81,40 @@
         out
     }
 
-    /// When shares that others may use can be lent to the instances that they are meant for.
-    pub fn release_times(&self, meant: &[Name; SLOTS], now: u64) -> Vec<(Name, u64)> {
-        let free = |(place, meant): (&Place, &Name)| match place {
-            Place::Lent { to, until } if to != meant => Some((meant.clone(), *until)),
-            Place::Unknown { since } => Some((meant.clone(), since + self.term)),
-            Place::Lent { .. } | Place::Free => None,
+    /// Returns the assigned limiter of each share that others may still use, with the time at which the share can be
+    /// lent to that limiter.
+    pub fn release_times(&self, assigned: &[Name; SLOTS], now: u64) -> Vec<(Name, u64)> {
+        let release = |(share, assigned): (&Share, &Name)| match share {
+            Share::Held { by, until } if by != assigned => Some((assigned.clone(), *until)),
+            Share::Unknown { since } => Some((assigned.clone(), since + self.duration)),
+            Share::Held { .. } | Share::Free => None,
         };
-        let all = self.places.iter().zip(meant).filter_map(free);
-        all.filter(|it| it.1 > now).collect()
+        let all = self.shares.iter().zip(assigned).filter_map(release);
+        all.filter(|release| release.1 > now).collect()
     }
 
-    /// An instance has answered an offer. Hands back the slots whose shares came back: none where it ignored the
-    /// offer, as one that is still under way may count after all.
-    pub fn apply_reply(&mut self, from: &Name, answer: OfferReply) -> SlotSet {
-        match answer.is_ignored {
+    /// Applies the reply of an instance to an offer, and returns the slots whose shares it released. That is none if
+    /// the instance ignored the offer, because another offer in flight may still take effect.
+    pub fn apply_reply(&mut self, from: &Name, reply: OfferReply) -> SlotSet {
+        match reply.is_ignored {
             true => SlotSet::default(),
-            false => self.release_except(from, answer.used),
+            false => self.release_except(from, reply.used),
         }
     }
 
-    /// An instance has said that it uses the shares of these slots alone. Hands back those that came back.
-    pub fn release_except(&mut self, from: &Name, kept: SlotSet) -> SlotSet {
-        let mut back = SlotSet::default();
-        for (slot, place) in self.places.iter_mut().enumerate() {
-            match place {
-                Place::Lent { to, .. } if to == from && !kept.contains(slot) => {
-                    *place = Place::Free;
-                    back.insert(slot);
+    /// Frees the shares lent to an instance except those of the slots in `used`, and returns the slots of the freed
+    /// shares.
+    pub fn release_except(&mut self, from: &Name, used: SlotSet) -> SlotSet {
+        let mut released = SlotSet::default();
+        for (slot, share) in self.shares.iter_mut().enumerate() {
+            match share {
+                Share::Held { by, .. } if by == from && !used.contains(slot) => {
+                    *share = Share::Free;
+                    released.insert(slot);
                 }
-                Place::Lent { .. } | Place::Unknown { .. } | Place::Free => {}
+                Share::Held { .. } | Share::Unknown { .. } | Share::Free => {}
             }
         }
-        back
+        released
     }
 }
--- a/crates/core/src/quota/limiter.rs
+++ b/crates/core/src/quota/limiter.rs
@@ -1,4 +1,4 @@
-//! Shares that were lent to an instance, and the buckets that they fill.
+//! Loans received by an instance, and the token buckets that they fill.
 
 use {
     super::{
@@ -11,33 +11,33 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A bucket that nobody asked for this long is forgotten, in microseconds.
-const IDLE: u64 = 60_000_000;
+/// Time without a claim after which a bucket is evicted, in microseconds.
+const IDLE_TIMEOUT: u64 = 60_000_000;
 
-/// What an instance lends: its share of these slots, and of no others.
+/// Offer of a loan: the share of one instance, for the given slots and no others.
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
-    /// The slots.
+    /// Slots whose shares are lent.
     pub slots: SlotSet,
-    /// The part of each limit.
+    /// Share of each limit, from 0 to 1.
     pub share: f64,
-    /// The moment that it was told before, from which the term counts.
+    /// Time that the limiter last reported to the lender, from which it counts the duration.
     pub since: Option<Timestamp>,
-    /// The term.
+    /// Duration of the loan, in microseconds.
     pub duration: u64,
 }
 
-/// What a limiter answers to an offer.
+/// Reply of a limiter to an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OfferReply {
-    /// The slots whose shares of the lender are used.
+    /// Slots for which the limiter uses the lender's share.
     pub used: SlotSet,
-    /// Whether the offer was ignored, as a newer message seems to have come before. The newer one may
-    /// be an earlier process's, after whose time messages of the lender count again.
+    /// True if the offer was ignored because a message with a higher sequence number was received before. That message
+    /// may come from an earlier process of the lender; offers take effect again after its loans have expired.
     pub is_ignored: bool,
 }
 
-/// A share that was lent.
+/// Loan of one lender's share.
 #[derive(Clone, Debug)]
 struct Loan {
     lender: Name,
@@ -45,85 +45,85 @@
     until: u64,
 }
 
-/// The newest message of a lender: an older one that is late changes nothing.
+/// Newest message received from a lender. Older messages that arrive late are ignored.
 #[derive(Clone, Debug)]
-struct Heard {
+struct LastMessage {
     lender: Name,
     seq: u64,
-    /// What is older can't lend any longer.
+    /// Time at which the loans of all older messages have expired.
     until: u64,
 }
 
-/// An organisation's bucket.
+/// Token bucket of an organisation.
 #[derive(Clone, Debug)]
 struct Bucket {
     organisation: Name,
-    /// Tokens; below zero where some were granted ahead.
+    /// Number of tokens. Negative if tokens were granted before they accrued.
     level: f64,
-    /// What the slot had filled when the level was set.
-    filled: f64,
-    /// The limit when it was last asked.
+    /// Value of [`Slot::accrued`] when the level was last updated.
+    accrued: f64,
+    /// Limit at the time of the last claim.
     limits: Limits,
-    used: u64,
-    /// Who has first call on the tokens.
+    last_used: u64,
+    /// Reservations of tokens by priority.
     reserve: Reserve,
 }
 
 impl Bucket {
-    /// The most tokens that it holds.
-    fn most(&self, sum: f64) -> f64 {
-        (self.limits.burst + self.limits.margin) * sum
+    /// Returns the maximum level for a total share.
+    fn capacity(&self, share: f64) -> f64 {
+        (self.limits.burst + self.limits.margin) * share
     }
 
-    /// Takes in what came since the level was set.
-    fn fill(&mut self, filled: f64, sum: f64) {
-        let most = self.most(sum);
-        self.level = (self.level + self.limits.rate * (filled - self.filled)).min(most);
-        self.filled = filled;
+    /// Adds the tokens accrued since the last update.
+    fn refill(&mut self, accrued: f64, share: f64) {
+        let capacity = self.capacity(share);
+        self.level = (self.level + self.limits.rate * (accrued - self.accrued)).min(capacity);
+        self.accrued = accrued;
     }
 }
 
-/// The shares of a slot.
+/// Shares of one slot.
 #[derive(Clone, Debug, Default)]
 struct Slot {
     /// Sorted by lender.
     loans: Vec<Loan>,
-    /// The sum of their shares.
-    sum: f64,
-    /// When the first of them ends.
-    ends: u64,
-    /// What they have filled so far of a limit of one operation a second.
-    filled: f64,
-    /// The same when the sum last fell: a bucket that isn't kept counts as empty then.
-    fell: f64,
-    /// When that was last worked out.
-    at: u64,
+    /// Sum of the lent shares.
+    total: f64,
+    /// Time at which the first loan expires.
+    expires_at: u64,
+    /// Tokens that the shares have accrued so far for a limit of one operation per second.
+    accrued: f64,
+    /// Value of `accrued` when the total share last decreased. A bucket that was evicted counts as empty at that time.
+    shrunk_at: f64,
+    /// Time of the last update of `accrued`.
+    updated_at: u64,
     /// Sorted by organisation.
     buckets: Vec<Bucket>,
 }
 
-/// What was lent to one instance. Times are microseconds of its monotonic clock.
+/// Shares lent to one instance. Times are microseconds of its monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     process: u64,
     slots: [Slot; SLOTS],
     /// Sorted by lender.
-    heard: Vec<Heard>,
+    messages: Vec<LastMessage>,
 }
 
 impl Limiter {
-    /// Nothing was lent yet; `process` tells apart the processes that an instance runs as.
+    /// Creates a limiter without loans. `process` identifies this process among all processes of the instance.
     pub fn new(process: u64) -> Limiter {
-        Limiter { process, slots: Default::default(), heard: Vec::new() }
+        Limiter { process, slots: Default::default(), messages: Vec::new() }
     }
 
-    /// The present moment, for a lender to hand back.
+    /// Returns the current time, for lenders to store and return.
     pub fn timestamp(&self, now: u64) -> Timestamp {
         Timestamp { process: self.process, at: now }
     }
 
-    /// An instance lends its share of these slots, and of no others, for a term from a moment that it was told before.
-    /// Hands back the slots whose shares are used now.
+    /// Applies an offer with a duration of [`MIN_LOAN_DURATION`], and returns the slots for which the lender's share
+    /// is used.
     pub fn accept(
         &mut self,
         lender: &Name,
@@ -136,151 +136,153 @@
         self.accept_offer(lender, seq, Offer { slots, share, since, duration: MIN_LOAN_DURATION }, now).used
     }
 
-    /// The same for a term that the lender names, and counts by itself.
+    /// Applies an offer, which replaces all earlier loans of the lender.
     pub fn accept_offer(&mut self, lender: &Name, seq: u64, offer: Offer, now: u64) -> OfferReply {
         let Offer { slots, share, since, .. } = offer;
-        let term = offer.duration.min(MAX_LOAN_DURATION);
-        let known = since.filter(|it| it.process == self.process && it.at <= now);
-        let until = known.map_or(0, |it| it.at.saturating_add(term));
-        let is_new = self.hear(lender, seq, now.saturating_add(term), now);
+        let duration = offer.duration.min(MAX_LOAN_DURATION);
+        let known = since.filter(|t| t.process == self.process && t.at <= now);
+        let until = known.map_or(0, |t| t.at.saturating_add(duration));
+        let is_new = self.record_message(lender, seq, now.saturating_add(duration), now);
         let mut used = SlotSet::default();
         for (n, slot) in self.slots.iter_mut().enumerate() {
             slot.advance(now);
             if is_new {
                 let share = if slots.contains(n) && until > now { share } else { 0.0 };
-                slot.put(lender, share, until);
+                slot.set_loan(lender, share, until);
             }
-            if slot.uses(lender) {
+            if slot.has_loan(lender) {
                 used.insert(n);
             }
         }
         OfferReply { used, is_ignored: !is_new }
     }
 
-    /// Takes in that a message has come, before which none can lend after a time; says whether none after it has.
-    fn hear(&mut self, lender: &Name, seq: u64, until: u64, now: u64) -> bool {
-        let heard = Heard { lender: lender.clone(), seq, until };
-        match self.heard.binary_search_by(|it| it.lender.cmp(lender)) {
-            Ok(at) if self.heard[at].until > now && self.heard[at].seq >= seq => return false,
-            Ok(at) => self.heard[at] = heard,
-            Err(at) => self.heard.insert(at, heard),
+    /// Records the sequence number of a message. The loans of all older messages expire by `until`. Returns false if a
+    /// message with the same or a higher number was received before, and its time isn't over.
+    fn record_message(&mut self, lender: &Name, seq: u64, until: u64, now: u64) -> bool {
+        let message = LastMessage { lender: lender.clone(), seq, until };
+        match self.messages.binary_search_by(|m| m.lender.cmp(lender)) {
+            Ok(at) if self.messages[at].until > now && self.messages[at].seq >= seq => return false,
+            Ok(at) => self.messages[at] = message,
+            Err(at) => self.messages.insert(at, message),
         }
         true
     }
 
-    /// An organisation wants to run so many operations.
+    /// Claims tokens for operations of an organisation.
     pub fn claim(&mut self, organisation: &Name, limits: Limits, demand: Demand, now: u64) -> Grant {
         let slot = &mut self.slots[slot(organisation)];
         slot.advance(now);
         slot.claim(organisation, limits, demand, now)
     }
 
-    /// The sum of the shares that were lent for an organisation.
+    /// Returns the sum of the shares lent for an organisation.
     pub fn share(&self, organisation: &str) -> f64 {
-        self.slots[slot(organisation)].sum
+        self.slots[slot(organisation)].total
     }
 
-    /// Forgets buckets that nobody has asked for a long time, and messages that no older one can follow.
+    /// Evicts idle buckets, and the sequence numbers of lenders whose older messages can't lend anything any more.
     pub fn evict_idle(&mut self, now: u64) {
-        self.heard.retain(|it| it.until > now);
-        for it in &mut self.slots {
-            it.buckets.retain(|bucket| now.saturating_sub(bucket.used) < IDLE);
+        self.messages.retain(|m| m.until > now);
+        for slot in &mut self.slots {
+            slot.buckets.retain(|bucket| now.saturating_sub(bucket.last_used) < IDLE_TIMEOUT);
         }
     }
 }
 
 impl Slot {
-    /// Fills up to a time, and drops the loans that have ended by then.
+    /// Accrues tokens until `now`, and removes the loans that expired by then.
     fn advance(&mut self, now: u64) {
-        while self.ends <= now && !self.loans.is_empty() {
-            self.fill(self.ends.max(self.at));
-            let at = self.at;
-            self.loans.retain(|it| it.until > at);
-            self.sum_up();
+        while self.expires_at <= now && !self.loans.is_empty() {
+            self.accrue(self.expires_at.max(self.updated_at));
+            let at = self.updated_at;
+            self.loans.retain(|l| l.until > at);
+            self.update_total();
         }
-        self.fill(now);
+        self.accrue(now);
     }
 
-    fn fill(&mut self, now: u64) {
-        self.filled += self.sum * now.saturating_sub(self.at) as f64 / SECOND;
-        self.at = self.at.max(now);
+    fn accrue(&mut self, now: u64) {
+        self.accrued += self.total * now.saturating_sub(self.updated_at) as f64 / SECOND;
+        self.updated_at = self.updated_at.max(now);
     }
 
-    fn sum_up(&mut self) {
-        let before = self.sum;
-        self.sum = self.loans.iter().map(|it| it.share).sum();
-        self.ends = self.loans.iter().map(|it| it.until).min().unwrap_or(u64::MAX);
-        if self.sum < before {
-            self.fell = self.filled;
-            let kept = if before > 0.0 { self.sum / before } else { 0.0 };
-            // Whoever takes a share elsewhere begins there with nothing, and leaves nothing of it here.
-            for it in &mut self.buckets {
-                it.fill(self.filled, before);
-                it.level = it.level.min(0.0) + it.level.max(0.0) * kept;
+    fn update_total(&mut self) {
+        let before = self.total;
+        self.total = self.loans.iter().map(|l| l.share).sum();
+        self.expires_at = self.loans.iter().map(|l| l.until).min().unwrap_or(u64::MAX);
+        if self.total < before {
+            self.shrunk_at = self.accrued;
+            let kept = if before > 0.0 { self.total / before } else { 0.0 };
+            // The next limiter of a removed share starts with an empty bucket, so the tokens of the share are removed
+            // here.
+            for bucket in &mut self.buckets {
+                bucket.refill(self.accrued, before);
+                bucket.level = bucket.level.min(0.0) + bucket.level.max(0.0) * kept;
             }
         }
     }
 
-    /// Takes in what a lender lends, or that it lends nothing.
-    fn put(&mut self, lender: &Name, share: f64, until: u64) {
-        match self.loans.binary_search_by(|it| it.lender.cmp(lender)) {
+    /// Replaces the loan of a lender, or removes it if the share is 0.
+    fn set_loan(&mut self, lender: &Name, share: f64, until: u64) {
+        match self.loans.binary_search_by(|l| l.lender.cmp(lender)) {
             Ok(at) if share > 0.0 => self.loans[at] = Loan { lender: lender.clone(), share, until },
             Ok(at) => drop(self.loans.remove(at)),
             Err(at) if share > 0.0 => self.loans.insert(at, Loan { lender: lender.clone(), share, until }),
             Err(_) => return,
         }
-        self.sum_up();
+        self.update_total();
     }
 
-    /// Whether a lender's share is used here.
-    fn uses(&self, lender: &Name) -> bool {
-        self.loans.binary_search_by(|it| it.lender.cmp(lender)).is_ok()
+    /// Returns true if the share of a lender is lent.
+    fn has_loan(&self, lender: &Name) -> bool {
+        self.loans.binary_search_by(|l| l.lender.cmp(lender)).is_ok()
     }
 
     fn claim(&mut self, organisation: &Name, limits: Limits, demand: Demand, now: u64) -> Grant {
-        let (sum, filled) = (self.sum, self.filled);
-        let rate = limits.rate * sum;
-        let it = self.bucket(organisation, limits, now);
-        it.limits = limits;
-        it.fill(filled, sum);
-        it.used = now;
+        let (total, accrued) = (self.total, self.accrued);
+        let rate = limits.rate * total;
+        let bucket = self.bucket(organisation, limits, now);
+        bucket.limits = limits;
+        bucket.refill(accrued, total);
+        bucket.last_used = now;
         let ahead = rate * MAX_DELAY as f64 / SECOND;
-        let most = it.most(sum);
+        let capacity = bucket.capacity(total);
         let urgency = demand.urgency.filter(|_| rate > 0.0);
-        let supply = Supply { stock: it.level + ahead, most: most + ahead, rate, now };
+        let supply = Supply { available: bucket.level + ahead, capacity: capacity + ahead, rate, now };
         let granted = match urgency {
-            Some(urgency) => it.reserve.admit(demand.count, urgency.priority, &supply),
-            None => supply.stock.floor().clamp(0.0, demand.count.into()) as u32,
+            Some(urgency) => bucket.reserve.admit(demand.count, urgency.priority, &supply),
+            None => supply.available.floor().clamp(0.0, demand.count.into()) as u32,
         };
-        it.level -= f64::from(granted);
-        // What has no share at all has no rate either: such callers are told to come back after a term.
-        let pause =
+        bucket.level -= f64::from(granted);
+        // Without a share the rate is 0, and the retry delay is the minimum duration of a loan.
+        let delay =
             |tokens: f64| if rate > 0.0 { (tokens / rate * SECOND).ceil() as u64 } else { MIN_LOAN_DURATION };
-        let after = if it.level < 0.0 { pause(-it.level) } else { 0 };
+        let after = if bucket.level < 0.0 { delay(-bucket.level) } else { 0 };
         let refused = demand.count.saturating_sub(granted);
         let rest = match urgency {
             Some(urgency) if refused > 0 => {
-                let left = Supply { stock: it.level + ahead, ..supply };
-                let row = it.reserve.place(refused, urgency, &left);
-                RetrySchedule { after: row.after, step: row.step, reserved: left.stock >= 1.0 }
+                let supply = Supply { available: bucket.level + ahead, ..supply };
+                let retries = bucket.reserve.schedule_retries(refused, urgency, &supply);
+                RetrySchedule { after: retries.after, step: retries.step, reserved: supply.available >= 1.0 }
             }
             Some(_) => RetrySchedule::at(0),
-            None if granted == 0 => RetrySchedule::at(pause(1.0 - ahead - it.level)),
+            None if granted == 0 => RetrySchedule::at(delay(1.0 - ahead - bucket.level)),
             None => RetrySchedule::at(after),
         };
         if granted == 0 { Grant::Refused(rest) } else { Grant::Granted { count: granted, after, rest } }
     }
 
-    /// An organisation's bucket, new if it has none.
+    /// Returns the bucket of an organisation, and creates it if necessary.
     fn bucket(&mut self, organisation: &Name, limits: Limits, now: u64) -> &mut Bucket {
-        let at = match self.buckets.binary_search_by(|it| it.organisation.cmp(organisation)) {
+        let at = match self.buckets.binary_search_by(|b| b.organisation.cmp(organisation)) {
             Ok(at) => at,
             Err(at) => {
-                let (organisation, filled) = (organisation.clone(), self.fell);
-                // After the loss of all instances the first callers find something.
-                let level = limits.margin * self.sum;
+                let (organisation, accrued) = (organisation.clone(), self.shrunk_at);
+                // Starts with the margin, so that the first callers are served after a loss of all instances.
+                let level = limits.margin * self.total;
                 let reserve = Reserve::default();
-                let new = Bucket { organisation, level, filled, limits, used: now, reserve };
+                let new = Bucket { organisation, level, accrued, limits, last_used: now, reserve };
                 self.buckets.insert(at, new);
                 at
             }
--- a/crates/core/src/quota/renewal.rs
+++ b/crates/core/src/quota/renewal.rs
@@ -1,208 +1,222 @@
-//! When an instance speaks to which limiter.
+//! Scheduling of an instance's messages to limiters, which lend its shares and renew the loans.
 //!
-//! A limiter has a message of every instance in each period. It may be one of the smallest instances of a large fleet, so
-//! the period, and with it the term of loans, grows with the number of instances as soon as [`MAX_MESSAGE_RATE`] calls for it. The
-//! first messages, after a start or to a limiter that is new in its place, are spread over the same time by the place of the
-//! instance among all; a limiter without an answer is asked again after a pause that doubles.
+//! In each renewal interval, a limiter receives a message from every instance. The limiter may be one of the smallest
+//! instances of a large fleet, so the interval, and with it the duration of loans, grows with the number of instances
+//! as soon as [`MAX_MESSAGE_RATE`] requires. The first messages after a start, or to a newly assigned limiter, are
+//! spread by the rank of the instance over the time that the limiter needs for the messages of all instances. A
+//! limiter that doesn't reply is retried with exponential backoff.
 
 use {
     super::{MIN_LOAN_DURATION, SLOTS},
     pondtrack_proto::Name,
 };
 
-/// Messages a second that come to a limiter at most: what an instance with a tenth of a core answers in about half of its
-/// time, while shares are placed; afterwards it has half as many, and the rest is its callers'.
+/// Maximum number of messages per second that a limiter receives. An instance with a tenth of a core replies to this
+/// number in about half of its time while shares are being placed. Afterwards it receives half as many, and the
+/// remaining time is available to its callers.
 pub const MAX_MESSAGE_RATE: u64 = 1_200;
-/// The part of them that is dealt to the instances; the rest is for messages that are repeated.
-const DEALT: u64 = 1_000;
-/// Messages until a share is placed: one to learn the limiter's moment, one that lends.
-const FIRST: u64 = 2;
-/// The shortest time between two messages to a limiter, in microseconds: a loan outlasts two that are lost.
+/// Part of [`MAX_MESSAGE_RATE`] that is allotted to instances. The remainder is for repeated messages.
+const ALLOTTED_RATE: u64 = 1_000;
+/// Number of messages that place a share: the first obtains the limiter's timestamp, the second lends.
+const FIRST_MESSAGES: u64 = 2;
+/// Minimum interval between two messages to a limiter, in microseconds. A loan outlasts two lost messages.
 pub const MIN_RENEWAL_INTERVAL: u64 = 400_000;
-/// The shortest time for a limiter's answer, in microseconds: a crossing of zones and a busy instance.
+/// Minimum timeout for a limiter's reply, in microseconds: a round trip between availability zones and a busy instance.
 pub const MIN_REPLY_TIMEOUT: u64 = 150_000;
-/// The longest pause after the first miss, in microseconds.
-const RETRY: u64 = 50_000;
-/// The longest pause of all, in microseconds.
-const RETRY_MOST: u64 = 1_000_000;
-/// The same within [`EARLY`]: others start too, and callers wait.
-const RETRY_EARLY: u64 = 200_000;
-/// How long after an instance's start others may come up, in microseconds.
-const EARLY: u64 = 3_000_000;
-/// Most doublings of a pause.
-const DOUBLINGS: u32 = 8;
-/// Periods that a loan has to outlast, as it counts from the message before: one whose message is lost.
-const OUTLASTS: u64 = 3;
-/// The largest fleet that is reckoned with: twice the 760 instances that the product is made for, as all may be replaced at
-/// once, and some room. Others may tell any number.
-const FLEET: u64 = 1_600;
-/// The longest term of a loan, in microseconds: that of the largest fleet. Others may name any.
-pub const MAX_LOAN_DURATION: u64 = MIN_LOAN_DURATION + OUTLASTS * (span(FLEET) - MIN_RENEWAL_INTERVAL);
-
-/// What is known of a limiter.
+/// Maximum delay after the first failure, in microseconds.
+const INITIAL_BACKOFF: u64 = 50_000;
+/// Maximum delay after any failure, in microseconds.
+const MAX_BACKOFF: u64 = 1_000_000;
+/// Maximum delay within [`STARTUP_PERIOD`], in microseconds. Other instances may be starting, and callers wait.
+const MAX_STARTUP_BACKOFF: u64 = 200_000;
+/// Time after an instance's start during which other instances may still be starting, in microseconds.
+const STARTUP_PERIOD: u64 = 3_000_000;
+/// Maximum number of times that the delay doubles.
+const MAX_DOUBLINGS: u32 = 8;
+/// Number of intervals that a loan outlasts. A loan is counted from the previous message, and one message may be lost.
+const INTERVALS_PER_LOAN: u64 = 3;
+/// Maximum fleet size assumed. The product is designed for 760 instances; all of them may be replaced at once, which
+/// doubles the number, and the rest is headroom. Other instances may report any number.
+const MAX_FLEET_SIZE: u64 = 1_600;
+/// Maximum duration of a loan, in microseconds: that of the largest fleet. Other instances may state any duration.
+pub const MAX_LOAN_DURATION: u64 =
+    MIN_LOAN_DURATION + INTERVALS_PER_LOAN * (placement_time(MAX_FLEET_SIZE) - MIN_RENEWAL_INTERVAL);
+
+/// Schedule and state of one limiter.
 #[derive(Clone, Debug)]
-struct Lane {
+struct Target {
     name: Name,
-    /// When it is told something next.
+    /// Time of the next message.
     due: u64,
-    /// Whether it owes an answer.
-    is_asked: bool,
-    /// Misses since its last answer.
-    misses: u32,
-    /// Its last answer, or the time since when it is known.
-    heard: u64,
-    /// Whether others are taken in its place.
+    /// True if a reply is outstanding.
+    is_pending: bool,
+    /// Number of failures since the last reply.
+    failures: u32,
+    /// Time of the last reply, or the time since which the limiter is known.
+    last_contact: u64,
+    /// True if another limiter replaces this one.
     is_lost: bool,
 }
 
-/// The messages of one instance to limiters. Times are microseconds of its monotonic clock, which begins with its
-/// process.
+/// Schedule of the messages from one instance to limiters. Times are microseconds of its monotonic clock, which starts
+/// with its process.
 #[derive(Clone, Debug, Default)]
 pub struct RenewalScheduler {
-    /// How many instances come before this one in the order of all.
-    place: u64,
+    /// Number of instances that precede this one in the order of all instances.
+    rank: u64,
     instances: u64,
     /// Sorted by name.
-    lanes: Vec<Lane>,
+    targets: Vec<Target>,
 }
 
-/// The time in which one limiter can have the first messages of so many instances.
-const fn span(instances: u64) -> u64 {
-    instances * FIRST * 1_000_000 / DEALT
+/// Returns the time in which one limiter can receive the first messages of a number of instances, in microseconds.
+const fn placement_time(instances: u64) -> u64 {
+    instances * FIRST_MESSAGES * 1_000_000 / ALLOTTED_RATE
 }
 
 impl RenewalScheduler {
-    /// Takes in how many instances there are, and how many of them come before this one in an order that is the same on
-    /// all.
-    pub fn set_fleet(&mut self, place: usize, instances: usize) {
-        self.place = place as u64;
-        self.instances = (instances as u64).min(FLEET);
+    /// Sets the number of instances, and the number of those that precede this one in an order common to all instances.
+    pub fn set_fleet(&mut self, rank: usize, instances: usize) {
+        self.rank = rank as u64;
+        self.instances = (instances as u64).min(MAX_FLEET_SIZE);
     }
 
-    /// The time in which one limiter can have the first messages of all instances.
-    fn span(&self) -> u64 {
-        span(self.instances)
+    /// Returns the time in which one limiter can receive the first messages of all instances.
+    fn placement_time(&self) -> u64 {
+        placement_time(self.instances)
     }
 
-    /// Between two messages to a limiter.
+    /// Returns the interval between two messages to a limiter, in microseconds.
     pub fn interval(&self) -> u64 {
-        self.span().max(MIN_RENEWAL_INTERVAL)
+        self.placement_time().max(MIN_RENEWAL_INTERVAL)
     }
 
-    /// How long shares have to be lent.
+    /// Returns the minimum duration of loans, in microseconds.
     pub fn loan_duration(&self) -> u64 {
-        MIN_LOAN_DURATION + OUTLASTS * (self.interval() - MIN_RENEWAL_INTERVAL)
+        MIN_LOAN_DURATION + INTERVALS_PER_LOAN * (self.interval() - MIN_RENEWAL_INTERVAL)
     }
 
-    /// How long a limiter's answer may take: one that all ask at once answers the last after the time for all.
+    /// Returns the timeout for a limiter's reply, in microseconds. If all instances send a message at once, the limiter
+    /// needs the whole placement time to reply to the last one.
     pub fn timeout(&self) -> u64 {
-        self.span().max(MIN_REPLY_TIMEOUT)
+        self.placement_time().max(MIN_REPLY_TIMEOUT)
     }
 
-    /// The limiters that are told something now, of these that there are, sorted. They owe an answer from now on.
-    pub fn take_due(&mut self, audience: &[Name], now: u64) -> Vec<Name> {
-        self.lanes.retain(|it| it.is_asked || audience.binary_search(&it.name).is_ok());
-        let first = now + self.turn();
-        let period = self.interval();
-        for name in audience {
+    /// Returns those of the current limiters, which are sorted by name, whose next message is due, and marks their
+    /// replies as outstanding.
+    pub fn take_due(&mut self, limiters: &[Name], now: u64) -> Vec<Name> {
+        self.targets.retain(|t| t.is_pending || limiters.binary_search(&t.name).is_ok());
+        let first = now + self.offset();
+        let interval = self.interval();
+        for name in limiters {
             if let Err(at) = self.find(name) {
                 let name = name.clone();
-                let lane = Lane { name, due: first, is_asked: false, misses: 0, heard: now, is_lost: false };
-                self.lanes.insert(at, lane);
+                let target = Target {
+                    name,
+                    due: first,
+                    is_pending: false,
+                    failures: 0,
+                    last_contact: now,
+                    is_lost: false,
+                };
+                self.targets.insert(at, target);
             }
         }
-        let pause = RETRY_MOST.max(2 * self.span());
-        for it in &mut self.lanes {
-            // The fleet may have been taken for a larger one.
-            it.due = it.due.min(now + if it.is_lost { pause } else { period });
+        let backoff = MAX_BACKOFF.max(2 * self.placement_time());
+        for t in &mut self.targets {
+            // The fleet may have been overestimated before.
+            t.due = t.due.min(now + if t.is_lost { backoff } else { interval });
         }
         let mut out = Vec::new();
-        for it in self.lanes.iter_mut().filter(|it| !it.is_asked && it.due <= now) {
-            it.is_asked = true;
-            // In step with what was dealt to this instance, as long as it keeps up.
-            it.due = if it.due + period > now { it.due + period } else { now + period };
-            out.push(it.name.clone());
+        for t in self.targets.iter_mut().filter(|t| !t.is_pending && t.due <= now) {
+            t.is_pending = true;
+            // Keeps this instance's offset within the interval unless it has fallen behind.
+            t.due = if t.due + interval > now { t.due + interval } else { now + interval };
+            out.push(t.name.clone());
         }
         out
     }
 
-    /// SlotSet are meant for other limiters than before: those are told, all instances in turn.
+    /// Schedules messages to the limiters of reassigned slots, spread over all instances.
     pub fn reassigned(&mut self, old: &[Name; SLOTS], new: &[Name; SLOTS], now: u64) {
-        let at = now + self.turn();
-        for (name, _) in old.iter().zip(new).filter(|it| it.0 != it.1) {
-            self.with(name, |it| it.due = if it.is_lost { it.due } else { it.due.min(at) });
+        let at = now + self.offset();
+        for (name, _) in old.iter().zip(new).filter(|pair| pair.0 != pair.1) {
+            self.update(name, |t| t.due = if t.is_lost { t.due } else { t.due.min(at) });
         }
     }
 
-    /// When this instance has its turn, where all begin to speak to a limiter at the same time.
-    fn turn(&self) -> u64 {
-        self.span() * self.place.min(self.instances) / self.instances.max(1)
+    /// Returns the delay of this instance's first message when all instances start to send to a limiter at the same
+    /// time.
+    fn offset(&self) -> u64 {
+        self.placement_time() * self.rank.min(self.instances) / self.instances.max(1)
     }
 
-    /// How long until a limiter is told something; none where there is nobody to be told.
+    /// Returns the time until the next message is due, in microseconds, or `None` if no message is scheduled.
     pub fn next_delay(&self, now: u64) -> Option<u64> {
-        let due = self.lanes.iter().filter(|it| !it.is_asked).map(|it| it.due).min()?;
+        let due = self.targets.iter().filter(|t| !t.is_pending).map(|t| t.due).min()?;
         Some(due.saturating_sub(now))
     }
 
-    /// A limiter is told something at this time, if not sooner: a share can be lent to it then.
+    /// Schedules the next message to a limiter for a time at which a share can be lent to it, unless an earlier message
+    /// is scheduled.
     pub fn schedule_by(&mut self, name: &Name, at: u64) {
-        self.with(name, |it| it.due = it.due.min(at));
+        self.update(name, |t| t.due = t.due.min(at));
     }
 
-    /// A limiter has answered, and serves; says whether it was lost before.
+    /// Records the reply of a limiter that is in service. Returns true if it was lost before.
     pub fn record_reply(&mut self, name: &Name, now: u64) -> bool {
         let mut was_lost = false;
-        self.with(name, |it| {
-            it.misses = 0;
-            it.heard = now;
-            was_lost = std::mem::take(&mut it.is_lost);
+        self.update(name, |t| {
+            t.failures = 0;
+            t.last_contact = now;
+            was_lost = std::mem::take(&mut t.is_lost);
         });
         was_lost
     }
 
-    /// A limiter couldn't be reached, leaves, or has had [`RenewalScheduler::timeout`] for its answer; `random` is any number.
+    /// Marks a limiter as lost that is unreachable, leaves, or hasn't replied within [`RenewalScheduler::timeout`].
+    /// `random` is any number, used for jitter.
     pub fn record_failure(&mut self, name: &Name, random: u64, now: u64) {
-        // All come within this time to one that serves again.
-        let (most, least) = match now < EARLY {
-            true => (RETRY_EARLY, self.span()),
-            false => (RETRY_MOST, 2 * self.span()),
+        // All instances send a message to a limiter within this time after its return.
+        let (max, min) = match now < STARTUP_PERIOD {
+            true => (MAX_STARTUP_BACKOFF, self.placement_time()),
+            false => (MAX_BACKOFF, 2 * self.placement_time()),
         };
-        self.with(name, |it| {
-            let top = (RETRY << it.misses.min(DOUBLINGS)).min(most).max(least);
-            it.misses += 1;
-            it.due = now + top / 2 + random % (top / 2 + 1);
-            it.is_lost = true;
+        self.update(name, |t| {
+            let top = (INITIAL_BACKOFF << t.failures.min(MAX_DOUBLINGS)).min(max).max(min);
+            t.failures += 1;
+            t.due = now + top / 2 + random % (top / 2 + 1);
+            t.is_lost = true;
         });
     }
 
-    /// A limiter has not answered in time for a caller. It may be slow, and is lost only if nothing was heard of it for
-    /// longer.
+    /// Records that a limiter hasn't replied to a claim in time. It may only be slow, so it is marked as lost only if
+    /// its last reply is older than [`RenewalScheduler::timeout`].
     pub fn record_timeout(&mut self, name: &Name, random: u64, now: u64) {
-        let patience = self.timeout();
-        let heard = self.find(name).ok().map(|at| self.lanes[at].heard);
-        if heard.is_some_and(|it| now.saturating_sub(it) >= patience) {
+        let timeout = self.timeout();
+        let last_contact = self.find(name).ok().map(|at| self.targets[at].last_contact);
+        if last_contact.is_some_and(|at| now.saturating_sub(at) >= timeout) {
             self.record_failure(name, random, now);
         }
     }
 
-    /// A limiter owes no answer any longer.
+    /// Marks the message to a limiter as completed, so that no reply is outstanding.
     pub fn complete(&mut self, name: &Name) {
-        self.with(name, |it| it.is_asked = false);
+        self.update(name, |t| t.is_pending = false);
     }
 
-    /// Limiters in whose place others are taken.
+    /// Returns the limiters that are lost and replaced by others.
     pub fn lost(&self) -> impl Iterator<Item = &Name> {
-        self.lanes.iter().filter(|it| it.is_lost).map(|it| &it.name)
+        self.targets.iter().filter(|t| t.is_lost).map(|t| &t.name)
     }
 
     fn find(&self, name: &Name) -> Result<usize, usize> {
-        self.lanes.binary_search_by(|it| it.name.cmp(name))
+        self.targets.binary_search_by(|t| t.name.cmp(name))
     }
 
-    fn with(&mut self, name: &Name, change: impl FnOnce(&mut Lane)) {
+    fn update(&mut self, name: &Name, change: impl FnOnce(&mut Target)) {
         if let Ok(at) = self.find(name) {
-            change(&mut self.lanes[at]);
+            change(&mut self.targets[at]);
         }
     }
 }
--- a/crates/core/src/quota/reserve.rs
+++ b/crates/core/src/quota/reserve.rs
@@ -1,252 +1,266 @@
-//! Who has first call on an organisation's tokens where more are asked for than come in, and when the others may come
-//! back.
+//! Reservation of an organisation's tokens by priority, for times when more are claimed than accrue, and the retry
+//! times of refused operations.
 //!
-//! A reserve only refuses: what is granted is taken from the bucket's level, which alone says how much there is.
+//! A reservation only refuses claims. Granted tokens are taken from the level of the bucket, which alone limits their
+//! number.
 
 use {
     super::{MAX_RETRY_AFTER, SECOND, Urgency},
     std::collections::VecDeque,
 };
 
-/// Priorities that are told apart; further ones count as the next less urgent one of these, or the last.
-const KINDS: usize = 8;
-/// The part of what is granted that less urgent kinds keep together, however much more urgent ones want: one caller in ten
-/// sees that its kind still works.
-const MINIMUM: f64 = 0.1;
-/// Below this part of the rate there is room for everybody, and nothing is kept back; above the second, all that should be.
-const PRESSURE: (f64, f64) = (0.9, 1.0);
-/// Claims that an average goes back over, as far as the two bounds below allow: fewer would be chance.
-const SAMPLE: f64 = 32.0;
-/// The shortest and the longest time that it goes back over, in seconds.
-const SPAN: (f64, f64) = (1.0, 5.0);
-/// The part of that time that is needed to know how many claims come in a second.
-const KNOWN: f64 = 0.2;
-/// More urgent claims of this time are kept room for, in seconds: callers of one page or batch come together.
-const AHEAD: f64 = 0.25;
-/// The part of a full bucket that may be kept for them: the rest takes in what comes while nobody claims.
-const KEPT: f64 = 0.75;
-/// The part of it that is kept from those who come at their places.
-const AWAITED: f64 = 0.25;
-/// The least time until a caller comes back, in microseconds: its answer and its next question cross zones, and it has to
-/// notice.
-const RETURN: u64 = 10_000;
-/// How late a caller may be at its place and still find it, in microseconds.
-const LATENESS: u64 = 5_000;
-/// Tokens for each place: callers who weren't told to come come as well, and not evenly.
+/// Maximum number of distinct priorities. An operation of a further priority counts towards the next less urgent of
+/// these, or towards the last.
+const MAX_CLASSES: usize = 8;
+/// Part of the granted tokens that all less urgent classes together are guaranteed, at any demand of more urgent ones:
+/// one caller in ten finds that its class is still served.
+const MIN_SHARE: f64 = 0.1;
+/// Demand as a part of the rate. Nothing is reserved below the first value, as all operations find tokens, and the full
+/// amount is reserved above the second.
+const PRESSURE_RANGE: (f64, f64) = (0.9, 1.0);
+/// Number of claims covered by an average, within the bounds of [`WINDOW_RANGE`]. An average of fewer claims would be
+/// dominated by chance.
+const SAMPLE_SIZE: f64 = 32.0;
+/// Minimum and maximum time covered by an average, in seconds.
+const WINDOW_RANGE: (f64, f64) = (1.0, 5.0);
+/// Minimum part of the averaging window that is treated as observed when the rate of claims is computed.
+const MIN_OBSERVED: f64 = 0.2;
+/// Time for whose claims of more urgent operations tokens are reserved, in seconds. The callers of one page or batch
+/// claim together.
+const LOOKAHEAD: f64 = 0.25;
+/// Maximum part of a full bucket reserved for more urgent operations. The rest absorbs the tokens that accrue while
+/// there are no claims.
+const MAX_RESERVED: f64 = 0.75;
+/// Part of the reservation for more urgent operations that also applies to scheduled retries.
+const RETRY_FACTOR: f64 = 0.25;
+/// Minimum delay before a retry, in microseconds. Both the response and the retry cross availability zones, and the
+/// caller needs time to react.
+const MIN_RETRY_DELAY: u64 = 10_000;
+/// Maximum lateness of a retry that still uses its scheduled time, in microseconds.
+const MAX_LATENESS: u64 = 5_000;
+/// Tokens for each scheduled retry. Callers without a scheduled time also claim, at uneven intervals.
 const SLACK: f64 = 1.25;
-/// Tokens that stand ready for each place, for the same reason.
+/// Tokens kept available for each scheduled retry, for the same reason as [`SLACK`].
 const SPARE: f64 = 3.0;
-/// RetrySchedule that are remembered for a kind: those of a second of the largest organisations.
-const PLACES: usize = 1_024;
+/// Maximum number of scheduled retries stored for a class: one second of the largest organisations.
+const MAX_RETRIES: usize = 1_024;
 
-/// What a bucket has, at a time.
+/// Tokens of a bucket at a point in time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Supply {
     /// Tokens that may be granted now.
-    pub stock: f64,
-    /// The most that there may be of them.
-    pub most: f64,
-    /// Tokens that come in, in a second; more than none.
+    pub available: f64,
+    /// Maximum number of such tokens.
+    pub capacity: f64,
+    /// Tokens that accrue per second, greater than 0.
     pub rate: f64,
-    /// The time.
+    /// Current time, in microseconds.
     pub now: u64,
 }
 
 impl Supply {
-    /// How far averages go back, in seconds.
-    fn span(&self) -> f64 {
-        (SAMPLE / self.rate).clamp(SPAN.0, SPAN.1)
+    /// Returns the time covered by averages, in seconds.
+    fn window(&self) -> f64 {
+        (SAMPLE_SIZE / self.rate).clamp(WINDOW_RANGE.0, WINDOW_RANGE.1)
     }
 
-    /// What an average keeps of a moment that long ago.
-    fn kept(&self, since: u64) -> f64 {
-        (-(self.now.saturating_sub(since) as f64) / (SECOND * self.span())).exp()
+    /// Returns the weight in an average of a count made at the time `since`.
+    fn decay(&self, since: u64) -> f64 {
+        (-(self.now.saturating_sub(since) as f64) / (SECOND * self.window())).exp()
     }
 
-    /// How long some tokens take to come in at a part of the rate.
-    fn time(&self, tokens: f64, part: f64) -> u64 {
+    /// Returns the time in which tokens accrue at a part of the rate, in microseconds.
+    fn time_for(&self, tokens: f64, part: f64) -> u64 {
         ((tokens / (self.rate * part) * SECOND).ceil() as u64).min(MAX_RETRY_AFTER)
     }
 }
 
-/// A count that is forgotten with time.
+/// Counter with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
-struct Recent {
+struct DecayingCounter {
     count: f64,
-    at: u64,
-    /// When counting began.
-    since: u64,
+    updated_at: u64,
+    /// Start of counting.
+    started_at: u64,
 }
 
-impl Recent {
-    fn add(&mut self, n: u32, it: &Supply) {
-        self.count = self.count * it.kept(self.at) + f64::from(n);
-        self.at = it.now;
+impl DecayingCounter {
+    fn add(&mut self, n: u32, supply: &Supply) {
+        self.count = self.count * supply.decay(self.updated_at) + f64::from(n);
+        self.updated_at = supply.now;
     }
 
-    /// So many in a second.
-    fn rate(&self, it: &Supply) -> f64 {
-        let known = (1.0 - it.kept(self.since)).max(KNOWN);
-        self.count * it.kept(self.at) / (it.span() * known)
+    /// Returns the average number per second.
+    fn rate(&self, supply: &Supply) -> f64 {
+        let observed = (1.0 - supply.decay(self.started_at)).max(MIN_OBSERVED);
+        self.count * supply.decay(self.updated_at) / (supply.window() * observed)
     }
 }
 
 /// Operations of one priority.
 #[derive(Clone, Debug)]
-struct Kind {
+struct PriorityClass {
     priority: u8,
-    asked: Recent,
-    /// What is left to it of its minimum, in tokens.
-    due: f64,
-    /// When it was last asked for.
-    seen: u64,
-    /// When callers were told to come back, in order.
-    places: VecDeque<u64>,
-    /// The last of them, also if it has passed.
-    last: u64,
+    demand: DecayingCounter,
+    /// Unused part of the guaranteed minimum, in tokens.
+    credit: f64,
+    /// Time of the last claim.
+    last_claim: u64,
+    /// Scheduled retry times, sorted.
+    retries: VecDeque<u64>,
+    /// Last scheduled retry time, even if it is in the past.
+    last_retry: u64,
 }
 
-impl Kind {
-    fn is_recent(&self, it: &Supply) -> bool {
-        it.now.saturating_sub(self.seen) as f64 <= it.span() * SECOND
+impl PriorityClass {
+    fn is_active(&self, supply: &Supply) -> bool {
+        supply.now.saturating_sub(self.last_claim) as f64 <= supply.window() * SECOND
     }
 
-    /// Others of the kind that come while one is awaited at its place.
-    fn others(&self, it: &Supply) -> f64 {
-        self.asked.rate(it) * LATENESS as f64 / SECOND
+    /// Returns the expected number of other claims of the class while one scheduled retry is awaited.
+    fn competitors(&self, supply: &Supply) -> f64 {
+        self.demand.rate(supply) * MAX_LATENESS as f64 / SECOND
     }
 
-    /// Tokens that are kept for those who were told to come back, from those who weren't: whoever comes at a place may be
-    /// either.
-    fn spare(&self, it: &Supply) -> f64 {
-        match self.places.front() {
-            Some(first) if *first > it.now => self.most_spare(it),
+    /// Returns the number of tokens reserved for scheduled retries. It is 0 while a retry is awaited, because a claim
+    /// at that time may be the scheduled one.
+    fn spare(&self, supply: &Supply) -> f64 {
+        match self.retries.front() {
+            Some(first) if *first > supply.now => self.max_spare(supply),
             _ => 0.0,
         }
     }
 
-    /// Whether one is awaited at its place.
-    fn is_awaited(&self, it: &Supply) -> bool {
-        self.places.front().is_some_and(|first| *first <= it.now)
+    /// Returns true if a scheduled retry is awaited now.
+    fn is_retry_due(&self, supply: &Supply) -> bool {
+        self.retries.front().is_some_and(|first| *first <= supply.now)
     }
 
-    /// As many as there are of them.
-    fn most_spare(&self, it: &Supply) -> f64 {
-        SPARE * (1.0 + self.others(it))
+    /// Returns the maximum number of tokens reserved for scheduled retries.
+    fn max_spare(&self, supply: &Supply) -> f64 {
+        SPARE * (1.0 + self.competitors(supply))
     }
 }
 
-/// When those may come back who were refused together.
+/// Retry times of operations that were refused together, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Row {
-    /// When the first may, from now.
+pub(super) struct RetryTimes {
+    /// Delay until the first retry.
     pub after: u64,
-    /// Between two of them.
+    /// Interval between two retries.
     pub step: u64,
 }
 
-/// The kinds of an organisation's operations, sorted by priority.
+/// Priority classes of an organisation's operations, sorted by priority.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Reserve {
-    kinds: Vec<Kind>,
+    classes: Vec<PriorityClass>,
 }
 
 impl Reserve {
-    /// How many operations are granted of those that are wanted.
-    pub fn admit(&mut self, count: u32, priority: u8, it: &Supply) -> u32 {
-        let at = self.note(count, priority, it);
-        let spare = self.kinds[at].spare(it);
-        let open = it.stock - self.kept(at, spare, it);
-        let minimum = (it.stock - self.owed(at, it)).min(self.kinds[at].due - spare);
-        let granted = open.max(minimum).floor().clamp(0.0, count.into()) as u32;
-        self.take(at, granted, it);
+    /// Returns the number of operations to grant of those claimed.
+    pub fn admit(&mut self, count: u32, priority: u8, supply: &Supply) -> u32 {
+        let at = self.record_claim(count, priority, supply);
+        let spare = self.classes[at].spare(supply);
+        let unreserved = supply.available - self.reserved(at, spare, supply);
+        let minimum = (supply.available - self.owed(at, supply)).min(self.classes[at].credit - spare);
+        let granted = unreserved.max(minimum).floor().clamp(0.0, count.into()) as u32;
+        self.record_grant(at, granted, supply);
         granted
     }
 
-    /// Gives places to some that are refused, as far as they are of use.
-    pub fn place(&mut self, refused: u32, urgency: Urgency, it: &Supply) -> Row {
+    /// Schedules retries of refused operations, as long as the callers still wait at those times.
+    pub fn schedule_retries(&mut self, refused: u32, urgency: Urgency, supply: &Supply) -> RetryTimes {
         let at = self.find(urgency.priority);
-        let minimum = MINIMUM / self.lesser(it).max(1) as f64;
-        let before: f64 = self.kinds[..at].iter().map(|kind| kind.asked.rate(it)).sum();
-        let part = (1.0 - MINIMUM - before / it.rate).max(minimum);
-        let lacks = (1.0 + self.kept(at, 0.0, it) - it.stock).max(0.0);
-        let kind = &mut self.kinds[at];
-        let step = it.time((1.0 + kind.others(it)) * SLACK, part);
-        let due = it.time((1.0 - kind.due).max(0.0), minimum);
-        let first = it.now + it.time(lacks, part).min(due).max(RETURN);
-        let mut next = first.max(kind.last + step);
-        let row = Row { after: next - it.now, step };
+        let minimum = MIN_SHARE / self.lower_classes(supply).max(1) as f64;
+        let before: f64 = self.classes[..at].iter().map(|class| class.demand.rate(supply)).sum();
+        let part = (1.0 - MIN_SHARE - before / supply.rate).max(minimum);
+        let missing = (1.0 + self.reserved(at, 0.0, supply) - supply.available).max(0.0);
+        let class = &mut self.classes[at];
+        let step = supply.time_for((1.0 + class.competitors(supply)) * SLACK, part);
+        let due = supply.time_for((1.0 - class.credit).max(0.0), minimum);
+        let first = supply.now + supply.time_for(missing, part).min(due).max(MIN_RETRY_DELAY);
+        let mut next = first.max(class.last_retry + step);
+        let times = RetryTimes { after: next - supply.now, step };
         for _ in 0..refused {
-            if next > it.now.saturating_add(urgency.remaining) || kind.places.len() == PLACES {
+            if next > supply.now.saturating_add(urgency.remaining) || class.retries.len() == MAX_RETRIES {
                 break;
             }
-            kind.places.push_back(next);
-            kind.last = next;
+            class.retries.push_back(next);
+            class.last_retry = next;
             next += step;
         }
-        row
+        times
     }
 
-    /// A kind's place among the others; the nearest's, where there are too many.
+    /// Returns the index of a class, or of the nearest one if the number of classes is at its maximum.
     fn find(&self, priority: u8) -> usize {
-        let at = self.kinds.partition_point(|it| it.priority < priority);
-        at.min(self.kinds.len().saturating_sub(1))
-    }
-
-    /// Takes in that a kind is asked for.
-    fn note(&mut self, count: u32, priority: u8, it: &Supply) -> usize {
-        let at = self.kinds.partition_point(|it| it.priority < priority);
-        let known = self.kinds.get(at).is_some_and(|it| it.priority == priority);
-        if !known && self.kinds.len() < KINDS {
-            let asked = Recent { since: it.now, ..Recent::default() };
-            let new = Kind { priority, asked, due: 0.0, seen: it.now, places: VecDeque::new(), last: 0 };
-            self.kinds.insert(at, new);
+        let at = self.classes.partition_point(|class| class.priority < priority);
+        at.min(self.classes.len().saturating_sub(1))
+    }
+
+    /// Records a claim, and returns the index of its class.
+    fn record_claim(&mut self, count: u32, priority: u8, supply: &Supply) -> usize {
+        let at = self.classes.partition_point(|class| class.priority < priority);
+        let known = self.classes.get(at).is_some_and(|class| class.priority == priority);
+        if !known && self.classes.len() < MAX_CLASSES {
+            let demand = DecayingCounter { started_at: supply.now, ..DecayingCounter::default() };
+            let new = PriorityClass {
+                priority,
+                demand,
+                credit: 0.0,
+                last_claim: supply.now,
+                retries: VecDeque::new(),
+                last_retry: 0,
+            };
+            self.classes.insert(at, new);
         }
         let at = self.find(priority);
-        let kind = &mut self.kinds[at];
-        kind.asked.add(count, it);
-        kind.seen = it.now;
-        while kind.places.pop_front_if(|place| *place + LATENESS <= it.now).is_some() {}
+        let class = &mut self.classes[at];
+        class.demand.add(count, supply);
+        class.last_claim = supply.now;
+        while class.retries.pop_front_if(|retry| *retry + MAX_LATENESS <= supply.now).is_some() {}
         at
     }
 
-    /// How much is asked for beyond what there is room for: 0 where all have room, 1 where they don't.
-    fn pressure(&self, it: &Supply) -> f64 {
-        let asked: f64 = self.kinds.iter().map(|kind| kind.asked.rate(it)).sum();
-        ((asked / it.rate - PRESSURE.0) / (PRESSURE.1 - PRESSURE.0)).clamp(0.0, 1.0)
+    /// Returns the excess of demand over supply, from 0 if all claims can be granted to 1 if they can't.
+    fn pressure(&self, supply: &Supply) -> f64 {
+        let demand: f64 = self.classes.iter().map(|class| class.demand.rate(supply)).sum();
+        ((demand / supply.rate - PRESSURE_RANGE.0) / (PRESSURE_RANGE.1 - PRESSURE_RANGE.0)).clamp(0.0, 1.0)
     }
 
-    /// Tokens that a kind leaves to others.
-    fn kept(&self, at: usize, spare: f64, it: &Supply) -> f64 {
-        let urgent: f64 = self.kinds[..at].iter().map(|kind| kind.asked.rate(it).min(it.rate)).sum();
-        let part = if self.kinds[at].is_awaited(it) { AWAITED } else { 1.0 };
-        let urgent = (urgent * AHEAD).min(it.most * KEPT) * part;
-        let kept = self.owed(at, it) + (urgent + spare) * self.pressure(it);
-        // Whoever is alone finds a token in a full bucket.
-        kept.min(it.most - 1.0).max(0.0)
+    /// Returns the number of tokens that a class may not use.
+    fn reserved(&self, at: usize, spare: f64, supply: &Supply) -> f64 {
+        let urgent: f64 =
+            self.classes[..at].iter().map(|class| class.demand.rate(supply).min(supply.rate)).sum();
+        let part = if self.classes[at].is_retry_due(supply) { RETRY_FACTOR } else { 1.0 };
+        let urgent = (urgent * LOOKAHEAD).min(supply.capacity * MAX_RESERVED) * part;
+        let reserved = self.owed(at, supply) + (urgent + spare) * self.pressure(supply);
+        // A single caller always finds a token in a full bucket.
+        reserved.min(supply.capacity - 1.0).max(0.0)
     }
 
-    /// Tokens that are kept for other kinds' minimum.
-    fn owed(&self, at: usize, it: &Supply) -> f64 {
-        let is_owed = |other: &(usize, &Kind)| other.0 != at && other.1.due >= 1.0 && other.1.is_recent(it);
-        let owed = self.kinds.iter().enumerate().filter(is_owed).count();
-        (owed as f64 * self.pressure(it)).min(it.most - 1.0).max(0.0)
+    /// Returns the number of tokens reserved for the guaranteed minimum of other classes.
+    fn owed(&self, at: usize, supply: &Supply) -> f64 {
+        let is_owed = |c: &(usize, &PriorityClass)| c.0 != at && c.1.credit >= 1.0 && c.1.is_active(supply);
+        let owed = self.classes.iter().enumerate().filter(is_owed).count();
+        (owed as f64 * self.pressure(supply)).min(supply.capacity - 1.0).max(0.0)
     }
 
-    /// How many kinds there are beside the most urgent one.
-    fn lesser(&self, it: &Supply) -> usize {
-        self.kinds.iter().filter(|kind| kind.is_recent(it)).count().saturating_sub(1)
+    /// Returns the number of active classes besides the most urgent one.
+    fn lower_classes(&self, supply: &Supply) -> usize {
+        self.classes.iter().filter(|class| class.is_active(supply)).count().saturating_sub(1)
     }
 
-    /// Counts what was granted, and what that makes the minimum of the others.
-    fn take(&mut self, at: usize, granted: u32, it: &Supply) {
-        let each = MINIMUM / self.lesser(it).max(1) as f64 * f64::from(granted);
-        let first = self.kinds.iter().position(|kind| kind.is_recent(it)).unwrap_or(0);
-        for kind in self.kinds.iter_mut().skip(first + 1).filter(|kind| kind.is_recent(it)) {
-            let most = 2.0 + kind.most_spare(it);
-            kind.due = (kind.due + each).min(most);
+    /// Records a grant, and credits the other classes with their guaranteed minimum.
+    fn record_grant(&mut self, at: usize, granted: u32, supply: &Supply) {
+        let each = MIN_SHARE / self.lower_classes(supply).max(1) as f64 * f64::from(granted);
+        let first = self.classes.iter().position(|class| class.is_active(supply)).unwrap_or(0);
+        for class in self.classes.iter_mut().skip(first + 1).filter(|class| class.is_active(supply)) {
+            let max = 2.0 + class.max_spare(supply);
+            class.credit = (class.credit + each).min(max);
         }
-        let kind = &mut self.kinds[at];
-        kind.due = (kind.due - f64::from(granted)).max(0.0);
+        let class = &mut self.classes[at];
+        class.credit = (class.credit - f64::from(granted)).max(0.0);
     }
 }
--- a/crates/core/src/quota/urgency.rs
+++ b/crates/core/src/quota/urgency.rs
@@ -1,33 +1,33 @@
-//! How urgent the operations are that claim an organisation's tokens.
+//! Size and urgency of claims.
 
 use serde::{Deserialize, Serialize};
 
-/// What a limiter knows of the caller behind a claim. Claims with the same urgency may be put together.
+/// Priority and remaining time of the caller behind a claim. Claims of equal urgency may be combined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Urgency {
-    /// The route's rank; 0 goes first.
+    /// Priority of the route. 0 is the most urgent.
     pub priority: u8,
-    /// For how much longer a grant helps the caller, in microseconds from the moment that the claim was sent.
+    /// Time for which a grant is still of use to the caller, in microseconds from the sending of the claim.
     #[serde(rename = "left")]
     pub remaining: u64,
 }
 
-/// Operations of an organisation that want to run.
+/// Operations of an organisation for which tokens are claimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// How many there are.
+    /// Number of operations.
     pub count: u32,
-    /// How urgent they are; none where operations aren't told apart, and tokens go in order of arrival.
+    /// Urgency of the operations. `None` if operations are not prioritised, and tokens are granted in order of arrival.
     pub urgency: Option<Urgency>,
 }
 
 impl Demand {
-    /// Operations that aren't told apart from others.
+    /// Creates a demand without a priority.
     pub fn unprioritised(count: u32) -> Demand {
         Demand { count, urgency: None }
     }
 
-    /// Operations of one urgency.
+    /// Creates a demand of one priority, with the remaining time of its callers in microseconds.
     pub fn prioritised(count: u32, priority: u8, remaining: u64) -> Demand {
         Demand { count, urgency: Some(Urgency { priority, remaining }) }
     }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,67 +1,68 @@
-//! Budgets and backoff of retries.
+//! Retry budgets and backoff.
 //!
-//! Retries happen in one layer, at the home, and only for what is provably unrun. Each success earns a
-//! share of a retry, so that retries can't multiply load when most requests fail.
+//! Retries happen in one layer only, at the home instance, and only for operations that have provably not run. Each
+//! success adds a fraction of a retry to the budget, so retries can't multiply the load when most requests fail.
 
 use rand::RngExt;
 
-/// Successes that earn one retry.
-const PRICE: u32 = 5;
-/// Most retries saved up.
-const MOST: u32 = 50;
+/// Number of successes that pay for one retry.
+const SUCCESSES_PER_RETRY: u32 = 5;
+/// Maximum number of retries in the budget.
+const MAX_RETRIES: u32 = 50;
 
-/// A budget of retries.
+/// Retry budget.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// In successes.
-    saved: u32,
+    /// Number of unspent successes.
+    balance: u32,
 }
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { saved: MOST * PRICE }
+        RetryBudget { balance: MAX_RETRIES * SUCCESSES_PER_RETRY }
     }
 }
 
 impl RetryBudget {
-    /// A request succeeded.
+    /// Records a successful request.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + 1).min(MOST * PRICE);
+        self.balance = (self.balance + 1).min(MAX_RETRIES * SUCCESSES_PER_RETRY);
     }
 
-    /// Takes one retry if there is one.
+    /// Withdraws one retry. Returns false if the budget is exhausted.
     pub fn try_withdraw(&mut self) -> bool {
-        let has = self.saved >= PRICE;
+        let has = self.balance >= SUCCESSES_PER_RETRY;
         if has {
-            self.saved -= PRICE;
+            self.balance -= SUCCESSES_PER_RETRY;
         }
         has
     }
 }
 
-/// Exponential backoff with full jitter.
+/// Exponential backoff with equal jitter: each delay is random between half of the current maximum and the maximum.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     base: u64,
     cap: u64,
-    step: u32,
+    attempt: u32,
 }
 
 impl Backoff {
-    /// Waits of at most `base` milliseconds first and `cap` milliseconds in the end.
+    /// Creates a backoff whose first delay is at most `base` milliseconds, and whose later delays are at most `cap`
+    /// milliseconds.
     pub fn new(base: u64, cap: u64) -> Backoff {
-        Backoff { base, cap, step: 0 }
+        Backoff { base, cap, attempt: 0 }
     }
 
-    /// The next wait, in milliseconds.
+    /// Returns the next delay, in milliseconds.
     pub fn next_delay(&mut self, rng: &mut impl rand::Rng) -> u64 {
-        let top = self.base.saturating_mul(1 << self.step.min(16)).min(self.cap).max(1);
-        self.step += 1;
-        rng.random_range(top / 2..=top)
+        let max = self.base.saturating_mul(1 << self.attempt.min(16)).min(self.cap).max(1);
+        self.attempt += 1;
+        rng.random_range(max / 2..=max)
     }
 
-    /// Begins anew after a success.
+    /// Restarts from the first delay, after a success.
     pub fn reset(&mut self) {
-        self.step = 0;
+        self.attempt = 0;
     }
 }
--- a/crates/core/src/retry_after.rs
+++ b/crates/core/src/retry_after.rs
@@ -1,7 +1,7 @@
-//! When callers that were refused may come back.
+//! Retry times of refused callers.
 //!
-//! Callers that are all told the same moment come back together, and all but the first are refused again. Each one gets
-//! a place of its own in the time when there will be room.
+//! Callers that are given the same retry time come back together, and all but the first are refused again. Each caller
+//! is therefore given a time of its own, within the period in which tokens will be available.
 //!
 //! Times are microseconds.
 
@@ -11,32 +11,32 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The shortest time for which a refusal holds without another question to the limiter.
-const LEAST: u64 = 5_000;
-/// The longest: a limit may be raised, or another limiter may take over.
-const MOST: u64 = 200_000;
-/// How late a caller may be at its place and is still known by it: its way back, and a busy instance.
-const LATENESS: u64 = 50_000;
-/// RetrySchedule that are remembered for an organisation's operations of one priority.
-const PLACES: usize = 256;
+/// Minimum lifetime of a cached refusal.
+const MIN_TTL: u64 = 5_000;
+/// Maximum lifetime of a cached refusal. A limit may be raised, or another limiter may take over.
+const MAX_TTL: u64 = 200_000;
+/// Maximum lateness of a retry that still counts as the scheduled one. It covers the network delay and a busy instance.
+const MAX_LATENESS: u64 = 50_000;
+/// Maximum number of scheduled retries stored for an organisation's operations of one priority.
+const MAX_RETRIES: usize = 256;
 
-/// What a refused caller is told.
+/// Retry time given to a refused caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetryAfter {
-    /// There will be room for this caller after so long.
+    /// A token will be available for this caller after a delay.
     Room {
-        /// From now.
+        /// Delay from now.
         after: u64,
     },
-    /// There will be none while its answer is still of use to it.
+    /// No token will be available before the caller's deadline.
     TooLate {
-        /// From now, when there will be room all the same.
+        /// Delay from now until a token is available.
         after: u64,
     },
 }
 
 impl RetryAfter {
-    /// The pause, in either case.
+    /// Returns the delay until a token is available.
     pub fn delay(self) -> u64 {
         match self {
             RetryAfter::Room { after } | RetryAfter::TooLate { after } => after,
@@ -44,110 +44,111 @@
     }
 }
 
-/// What callers of an organisation's operations of one priority were told.
+/// Refusal of an organisation's operations of one priority.
 #[derive(Clone, Debug)]
 struct Refusal {
     organisation: Name,
     priority: Option<u8>,
-    /// Until then no other place is asked for.
+    /// Time until which callers are refused without a claim to the limiter.
     until: u64,
-    /// The last place that was told, and the time between two.
+    /// Last retry time that was given.
     last: u64,
+    /// Interval between two retry times.
     step: u64,
-    /// The places that are awaited.
-    places: Vec<u64>,
+    /// Scheduled retries.
+    retries: Vec<u64>,
 }
 
 impl Refusal {
-    /// Whether it holds no longer, and nobody is awaited.
-    fn is_over(&mut self, now: u64) -> bool {
-        self.places.retain(|place| place + LATENESS > now);
-        self.until <= now && self.places.is_empty()
+    /// Returns true if the refusal has expired and no retry is scheduled.
+    fn is_expired(&mut self, now: u64) -> bool {
+        self.retries.retain(|retry| retry + MAX_LATENESS > now);
+        self.until <= now && self.retries.is_empty()
     }
 
-    /// Tells a caller its place, and remembers it if it is of use.
-    fn tell(&mut self, place: u64, left: u64, now: u64) -> RetryAfter {
-        // Callers are told milliseconds: one that comes a part of one too early finds nothing.
-        let after = (place - now).next_multiple_of(1_000);
-        if after > left {
+    /// Returns the retry time of a caller, and stores it unless it is after the caller's deadline.
+    fn schedule(&mut self, retry: u64, remaining: u64, now: u64) -> RetryAfter {
+        // Callers receive milliseconds. Rounding down would let them arrive before the token is available.
+        let after = (retry - now).next_multiple_of(1_000);
+        if after > remaining {
             return RetryAfter::TooLate { after };
         }
-        self.last = self.last.max(place);
-        if self.places.len() < PLACES {
-            self.places.push(place);
+        self.last = self.last.max(retry);
+        if self.retries.len() < MAX_RETRIES {
+            self.retries.push(retry);
         }
         RetryAfter::Room { after }
     }
 }
 
-/// What an instance knows of refusals, so that it can answer by itself: callers who don't listen cost others nothing.
+/// Refusals cached by an instance. Callers that retry too early are refused locally and cause no messages to limiters.
 #[derive(Clone, Debug, Default)]
 pub struct RefusalCache {
     /// Sorted by organisation and priority.
-    list: Vec<Refusal>,
+    refusals: Vec<Refusal>,
 }
 
 impl RefusalCache {
-    /// What a caller is told without a question to the limiter; none if that has to be asked. A caller who comes when a
-    /// place is due may be the one who was told so, and is asked for.
+    /// Returns the retry time of a caller, or `None` if the limiter has to decide. That is the case for a caller that
+    /// arrives when a scheduled retry is due, because it may be the scheduled one.
     pub fn lookup(&mut self, organisation: &Name, urgency: Option<Urgency>, now: u64) -> Option<RetryAfter> {
         let at = self.find(organisation, urgency).ok()?;
-        let it = &mut self.list[at];
-        if it.is_over(now) {
-            self.list.remove(at);
+        let refusal = &mut self.refusals[at];
+        if refusal.is_expired(now) {
+            self.refusals.remove(at);
             return None;
         }
-        if let Some(due) = it.places.iter().position(|place| *place <= now) {
-            it.places.remove(due);
+        if let Some(due) = refusal.retries.iter().position(|retry| *retry <= now) {
+            refusal.retries.remove(due);
             return None;
         }
-        if it.until <= now {
+        if refusal.until <= now {
             return None;
         }
         match urgency {
-            None => Some(RetryAfter::Room { after: it.until - now }),
-            Some(urgency) => Some(it.tell(it.last.max(now) + it.step, urgency.remaining, now)),
+            None => Some(RetryAfter::Room { after: refusal.until - now }),
+            Some(u) => Some(refusal.schedule(refusal.last.max(now) + refusal.step, u.remaining, now)),
         }
     }
 
-    /// A limiter has refused a caller; what it is told.
+    /// Stores a refusal by a limiter, and returns the retry time of the caller.
     pub fn insert(
         &mut self,
         organisation: &Name,
         urgency: Option<Urgency>,
-        places: RetrySchedule,
+        schedule: RetrySchedule,
         now: u64,
     ) -> RetryAfter {
-        let priority = urgency.map(|it| it.priority);
-        let until = now + places.after.clamp(LEAST, MOST);
+        let priority = urgency.map(|u| u.priority);
+        let until = now + schedule.after.clamp(MIN_TTL, MAX_TTL);
         let at = self.find(organisation, urgency).unwrap_or_else(|at| {
             let organisation = organisation.clone();
-            let new = Refusal { organisation, priority, until, last: 0, step: 0, places: Vec::new() };
-            self.list.insert(at, new);
+            let new = Refusal { organisation, priority, until, last: 0, step: 0, retries: Vec::new() };
+            self.refusals.insert(at, new);
             at
         });
-        let it = &mut self.list[at];
-        it.until = until;
-        it.step = places.step.min(MAX_RETRY_AFTER);
+        let refusal = &mut self.refusals[at];
+        refusal.until = until;
+        refusal.step = schedule.step.min(MAX_RETRY_AFTER);
         match urgency {
-            None => RetryAfter::Room { after: places.after },
+            None => RetryAfter::Room { after: schedule.after },
             Some(urgency) => {
-                let place = now + places.skip(0).after;
-                let told = it.tell(place, urgency.remaining, now);
-                // A place that its caller can't wait for is the next one's, who is told none before it.
-                it.last = it.last.max(place.saturating_sub(it.step));
-                told
+                let retry = now + schedule.skip(0).after;
+                let response = refusal.schedule(retry, urgency.remaining, now);
+                // If this caller can't wait for the retry time, the next caller gets it, and no earlier one.
+                refusal.last = refusal.last.max(retry.saturating_sub(refusal.step));
+                response
             }
         }
     }
 
-    /// Forgets refusals that are over.
+    /// Removes expired refusals.
     pub fn evict_expired(&mut self, now: u64) {
-        self.list.retain_mut(|it| !it.is_over(now));
+        self.refusals.retain_mut(|refusal| !refusal.is_expired(now));
     }
 
     fn find(&self, organisation: &Name, urgency: Option<Urgency>) -> Result<usize, usize> {
-        let key = (organisation, urgency.map(|it| it.priority));
-        self.list.binary_search_by(|it| (&it.organisation, it.priority).cmp(&key))
+        let key = (organisation, urgency.map(|u| u.priority));
+        self.refusals.binary_search_by(|refusal| (&refusal.organisation, refusal.priority).cmp(&key))
     }
 }
--- a/crates/core/src/timer.rs
+++ b/crates/core/src/timer.rs
@@ -1,42 +1,43 @@
-//! A timer service that parts subscribe to.
+//! Timer queue of an event loop.
 //!
-//! The owner of the loop asks when to wake, and hands out what is due. Parts never read a clock.
+//! The owner of the loop sleeps until the next deadline and runs the components that are due. Components never read a
+//! clock.
 
 use crate::Time;
 
-/// Subscriptions of parts `K`, sorted by their time.
+/// Deadlines of components, identified by `K` and sorted by time.
 #[derive(Clone, Debug)]
 pub struct Timers<K> {
-    due: Vec<(Time, K)>,
+    deadlines: Vec<(Time, K)>,
 }
 
 impl<K> Default for Timers<K> {
     fn default() -> Timers<K> {
-        Timers { due: Vec::new() }
+        Timers { deadlines: Vec::new() }
     }
 }
 
 impl<K: Clone + PartialEq> Timers<K> {
-    /// Wakes a part at a time; an earlier subscription of the same part is replaced.
+    /// Sets the deadline of a component, replacing its previous one.
     pub fn set(&mut self, key: K, at: Time) {
         self.cancel(&key);
-        let n = self.due.partition_point(|it| it.0 <= at);
-        self.due.insert(n, (at, key));
+        let n = self.deadlines.partition_point(|d| d.0 <= at);
+        self.deadlines.insert(n, (at, key));
     }
 
-    /// Ends a subscription.
+    /// Removes the deadline of a component.
     pub fn cancel(&mut self, key: &K) {
-        self.due.retain(|it| it.1 != *key);
+        self.deadlines.retain(|d| d.1 != *key);
     }
 
-    /// When the next part wants to be woken.
+    /// Returns the earliest deadline.
     pub fn next_deadline(&self) -> Option<Time> {
-        self.due.first().map(|it| it.0)
+        self.deadlines.first().map(|d| d.0)
     }
 
-    /// Takes the parts that are due, the earliest first.
+    /// Removes and returns the components that are due, earliest first.
     pub fn take_due(&mut self, now: Time) -> Vec<K> {
-        let n = self.due.partition_point(|it| it.0 <= now);
-        self.due.drain(..n).map(|it| it.1).collect()
+        let n = self.deadlines.partition_point(|d| d.0 <= now);
+        self.deadlines.drain(..n).map(|d| d.1).collect()
     }
 }
--- a/crates/core/src/token.rs
+++ b/crates/core/src/token.rs
@@ -1,7 +1,7 @@
-//! What a session carries between instances.
+//! Session tokens, with which a session continues on another instance.
 //!
-//! A token holds the session's mark and settings. It is no secret and gives no right: a mark higher
-//! than the truth only makes reads wait, and settings are what the caller could set itself.
+//! A session token contains the session's mark and settings. It is not secret and grants no permissions: a mark ahead
+//! of the actual log position only delays reads, and the caller could change the settings anyway.
 
 use {
     pondtrack_proto::{Mark, Name},
@@ -9,27 +9,27 @@
     snafu::Snafu,
 };
 
-/// Longest token accepted, in bytes.
+/// Maximum length of an accepted token, in bytes.
 pub const MAX_LEN: usize = 8_192;
 
-/// The parts of a token.
+/// Contents of a session token.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionToken {
-    /// The group it is for.
+    /// Group for which the token is valid.
     pub group: Name,
-    /// What the session has seen.
+    /// Log position that the session has seen.
     pub mark: Mark,
-    /// The session's settings.
+    /// Settings of the session.
     pub settings: Vec<(Name, Name)>,
 }
 
-/// Why a token is refused.
+/// Error for a token that can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("it is no token of this version: take one with SHOW pondtrack.token"))]
 pub struct TokenError;
 
 impl SessionToken {
-    /// The token as text.
+    /// Encodes the token as text.
     pub fn encode(&self) -> String {
         let mut out = format!("pt1.{}.{}.{}", hex(self.group.as_bytes()), self.mark.term, self.mark.lsn);
         for (key, value) in &self.settings {
@@ -38,7 +38,11 @@
         out
     }
 
-    /// Reads a token.
+    /// Parses an encoded token.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the text is too long, malformed or of another version.
     pub fn parse(text: &str) -> Result<SessionToken, TokenError> {
         if text.len() > MAX_LEN {
             return Err(TokenError);
@@ -49,13 +53,13 @@
             return Err(TokenError);
         }
         let group = unhex(next()?)?;
-        let number = |it: &str| it.parse::<u64>().map_err(|_| TokenError);
+        let number = |s: &str| s.parse::<u64>().map_err(|_| TokenError);
         let mark = Mark::new(number(next()?)?, number(next()?)?);
         let rest: Vec<&str> = parts.collect();
         if !rest.len().is_multiple_of(2) {
             return Err(TokenError);
         }
-        let pair = |it: &[&str]| Ok((unhex(it[0])?, unhex(it[1])?));
+        let pair = |s: &[&str]| Ok((unhex(s[0])?, unhex(s[1])?));
         let settings = rest.chunks(2).map(pair).collect::<Result<_, TokenError>>()?;
         Ok(SessionToken { group, mark, settings })
     }
--- a/crates/core/tests/delta.rs
+++ b/crates/core/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Differences of collections: applied to what they were made from they give what they were made for.
+//! Deltas of collections: a delta applied to its base version yields its target version.
 
 use {
     pondtrack_core::delta::{ChangeLog, Delta, changed_keys},
@@ -10,16 +10,16 @@
 
 type Item = (Name, u32);
 
-fn key(it: &Item) -> &Name {
-    &it.0
+fn key(item: &Item) -> &Name {
+    &item.0
 }
 
 fn items(list: &[(&str, u32)]) -> Vec<Item> {
-    list.iter().map(|it| (Name::from(it.0), it.1)).collect()
+    list.iter().map(|item| (Name::from(item.0), item.1)).collect()
 }
 
 fn names(list: &[&str]) -> Vec<Name> {
-    list.iter().map(|it| Name::from(*it)).collect()
+    list.iter().map(|name| Name::from(*name)).collect()
 }
 
 #[rstest]
@@ -28,12 +28,16 @@
 #[case(&[("a", 1), ("b", 1)], &[("a", 1), ("b", 2)], &["b"])]
 #[case(&[("a", 1), ("c", 1)], &[("b", 1), ("c", 1), ("d", 1)], &["a", "b", "d"])]
 #[case(&[("a", 1)], &[("a", 1)], &[])]
-fn keys_that_differ(#[case] old: &[(&str, u32)], #[case] new: &[(&str, u32)], #[case] expected: &[&str]) {
+fn changed_keys_are_found(
+    #[case] old: &[(&str, u32)],
+    #[case] new: &[(&str, u32)],
+    #[case] expected: &[&str],
+) {
     assert_eq!(changed_keys(&items(old), &items(new), key), names(expected));
 }
 
 #[test]
-fn a_log_knows_nothing_from_before_its_first_version() {
+fn log_starts_at_its_first_version() {
     let mut log = ChangeLog::default();
     assert_eq!(log.changed_since(0), None);
     log.record(5, names(&["a"]));
@@ -41,24 +45,24 @@
     log.record(13, names(&["a", "c"]));
     assert_eq!(log.changed_since(4), None);
     assert_eq!(log.changed_since(5), Some(names(&["a", "b", "c"])));
-    // A version between two that are known is as good as the one before it.
+    // A version between two recorded ones is equivalent to the earlier one.
     assert_eq!(log.changed_since(10), Some(names(&["a", "c"])));
     assert_eq!(log.changed_since(13), Some(Vec::new()));
 }
 
 #[test]
-fn a_log_forgets_its_oldest_versions_first() {
+fn log_evicts_its_oldest_versions() {
     let mut log = ChangeLog::default();
     log.record(1, Vec::new());
     for version in 2..=6 {
         log.record(version, (0..1_500).map(|n| Name::from(format!("{version}-{n:04}"))).collect());
     }
-    assert_eq!(log.changed_since(3), None, "more keys than are kept");
-    assert_eq!(log.changed_since(4).map(|it| it.len()), Some(3_000));
+    assert_eq!(log.changed_since(3), None, "more keys than the log stores");
+    assert_eq!(log.changed_since(4).map(|keys| keys.len()), Some(3_000));
 }
 
 #[test]
-fn differences_over_any_number_of_versions_lead_to_the_last() {
+fn delta_from_any_version_yields_the_last() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut log = ChangeLog::default();
@@ -67,10 +71,10 @@
             let old = versions.last().cloned().unwrap_or_default();
             let mut new = old.clone();
             new.retain(|_| rng.random_range(0..5) > 0);
-            new.iter_mut().filter(|_| rng.random_range(0..3) == 0).for_each(|it| it.1 += 1);
+            new.iter_mut().filter(|_| rng.random_range(0..3) == 0).for_each(|item| item.1 += 1);
             for _ in 0..rng.random_range(0..6) {
                 let name = Name::from(format!("{:02}", rng.random_range(0..40)));
-                if let Err(at) = new.binary_search_by(|it| it.0.cmp(&name)) {
+                if let Err(at) = new.binary_search_by(|item| item.0.cmp(&name)) {
                     new.insert(at, (name, 0));
                 }
             }
--- a/crates/core/tests/quota_walk.rs
+++ b/crates/core/tests/quota_walk.rs
@@ -1,5 +1,7 @@
-//! Every order of events between an instance that lends its share and the two that may use it, itself among them: it is
-//! never used in two places. And every order of claims, by their urgency, at one limiter: a bucket grants what it holds.
+//! Exhaustive exploration of event orders.
+//!
+//! An instance lends its share to itself or to another instance: the share is never used by both. Claims of any urgency
+//! reach one limiter: a bucket grants no more than its tokens.
 
 use {
     pondtrack_core::quota::{
@@ -11,68 +13,87 @@
 };
 
 const ORGANISATION: &str = "acme";
-/// Time goes in steps of this length.
+/// Length of one time step, in microseconds.
 const TICK: u64 = MIN_LOAN_DURATION / 3;
+/// Start of the exploration, in microseconds.
 const BEGIN: u64 = 10 * MIN_LOAN_DURATION;
-/// Messages under way at once.
-const MESSAGES: usize = 2;
+/// Maximum number of messages in flight.
+const MAX_IN_FLIGHT: usize = 2;
 
-/// What may happen in one walk.
+/// Bounds of one exploration.
 #[derive(Clone, Copy, Debug)]
-struct Size {
-    /// Steps of time.
+struct Bounds {
+    /// Number of time steps.
     ticks: u64,
-    /// Processes that start again.
+    /// Number of restarts.
     restarts: u8,
 }
 
-/// A step of time without a restart, and a restart: more takes minutes.
-const SIZES: [Size; 2] = [Size { ticks: 1, restarts: 0 }, Size { ticks: 0, restarts: 1 }];
+/// One time step without a restart, and one restart without a time step. Larger bounds take minutes.
+const BOUNDS: [Bounds; 2] = [Bounds { ticks: 1, restarts: 0 }, Bounds { ticks: 0, restarts: 1 }];
 
-/// Who lends, to itself or to the other one. What becomes of its share doesn't depend on others' shares.
+/// Index of the lender, which lends to itself or to the other instance. Its share is independent of the shares of
+/// others.
 const LENDER: usize = 0;
-/// Its share.
+/// Share of the lender.
 const SHARE: f64 = 0.5;
 
-/// What is wrong with the rules, so that the walk is seen to find it.
+/// Fault injected into the protocol, to prove that the exploration detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    CountsFromArrival,
-    StartsAtOnce,
-    GoesOnAtOnce,
-    /// A late message counts like a new one.
-    ForgetsOrder,
+    /// A limiter counts the duration of a loan from the receipt of the offer.
+    CountsFromReceipt,
+    /// A new process lends shares immediately that its previous process may have lent.
+    SkipsStartupWait,
+    /// A lender considers a share returned if the limiter doesn't reply in time.
+    ExpiresOnTimeout,
+    /// A limiter applies a late message like a new one.
+    IgnoresSequence,
 }
 
 #[derive(Clone)]
-struct Member {
+struct Instance {
     lender: Lender,
     limiter: Limiter,
-    stamps: [Option<Timestamp>; 2],
-    /// The message that is owed an answer, by limiter.
-    asked: [Option<u64>; 2],
+    timestamps: [Option<Timestamp>; 2],
+    /// Sequence number of the pending offer to each limiter.
+    pending: [Option<u64>; 2],
     process: u64,
 }
 
 #[derive(Clone)]
 enum Message {
-    Lend { from: usize, to: usize, seq: u64, slots: SlotSet, stamp: Option<Timestamp>, processes: (u64, u64) },
-    Used { from: usize, to: usize, seq: u64, slots: SlotSet, stamp: Timestamp, process: u64 },
+    Offer {
+        from: usize,
+        to: usize,
+        seq: u64,
+        slots: SlotSet,
+        timestamp: Option<Timestamp>,
+        processes: (u64, u64),
+    },
+    Reply {
+        from: usize,
+        to: usize,
+        seq: u64,
+        slots: SlotSet,
+        timestamp: Timestamp,
+        process: u64,
+    },
 }
 
 #[derive(Clone)]
-struct World {
+struct State {
     fault: Fault,
-    size: Size,
+    bounds: Bounds,
     now: u64,
     seq: u64,
     restarts: u8,
-    members: [Member; 2],
-    wire: Vec<Message>,
-    /// The last message that came, from each to each.
-    heard: [[u64; 2]; 2],
-    /// What happened.
+    instances: [Instance; 2],
+    in_flight: Vec<Message>,
+    /// Highest sequence number received, by sender and receiver.
+    received: [[u64; 2]; 2],
+    /// Events that led to this state.
     trace: Vec<String>,
 }
 
@@ -81,177 +102,196 @@
 }
 
 fn own_slot() -> SlotSet {
-    let mut it = SlotSet::default();
-    it.insert(slot(ORGANISATION));
-    it
+    let mut slots = SlotSet::default();
+    slots.insert(slot(ORGANISATION));
+    slots
 }
 
-fn member(process: u64, lender: u64) -> Member {
-    Member {
+fn new_instance(process: u64, lender: u64) -> Instance {
+    Instance {
         lender: Lender::new(lender),
         limiter: Limiter::new(process),
-        stamps: [None; 2],
-        asked: [None; 2],
+        timestamps: [None; 2],
+        pending: [None; 2],
         process,
     }
 }
 
-impl World {
-    fn new(fault: Fault, size: Size) -> World {
-        // Both have been there for long.
-        let members = [member(1, BEGIN - 2 * MIN_LOAN_DURATION), member(2, BEGIN - 2 * MIN_LOAN_DURATION)];
-        World {
+impl State {
+    fn new(fault: Fault, bounds: Bounds) -> State {
+        // Both instances have been running for a long time.
+        let instances =
+            [new_instance(1, BEGIN - 2 * MIN_LOAN_DURATION), new_instance(2, BEGIN - 2 * MIN_LOAN_DURATION)];
+        State {
             fault,
-            size,
+            bounds,
             now: BEGIN,
             seq: 0,
             restarts: 0,
-            members,
-            wire: Vec::new(),
-            heard: [[0; 2]; 2],
+            instances,
+            in_flight: Vec::new(),
+            received: [[0; 2]; 2],
             trace: Vec::new(),
         }
     }
 
-    fn next(&self) -> Vec<World> {
+    fn next(&self) -> Vec<State> {
         let mut out = Vec::new();
-        let mut step = |what: String, act: &dyn Fn(&mut World) -> bool| {
-            let mut it = self.clone();
-            if act(&mut it) {
-                it.trace.push(what);
-                out.push(it);
+        let mut step = |what: String, act: &dyn Fn(&mut State) -> bool| {
+            let mut s = self.clone();
+            if act(&mut s) {
+                s.trace.push(what);
+                out.push(s);
             }
         };
-        step("tick".to_owned(), &|it| {
-            it.now += TICK;
-            it.now <= BEGIN + it.size.ticks * TICK
+        step("tick".to_owned(), &|s| {
+            s.now += TICK;
+            s.now <= BEGIN + s.bounds.ticks * TICK
         });
         for to in 0..2 {
-            step(format!("lend to {to}"), &|it| it.tell(LENDER, to, true));
-            step(format!("take back from {to}"), &|it| it.tell(LENDER, to, false));
-            step(format!("give up on {to}"), &|it| it.give_up(LENDER, to));
-            step(format!("restart {to}"), &|it| it.restart(to));
+            step(format!("lend to {to}"), &|s| s.send_offer(LENDER, to, true));
+            step(format!("take back from {to}"), &|s| s.send_offer(LENDER, to, false));
+            step(format!("time out {to}"), &|s| s.time_out(LENDER, to));
+            step(format!("restart {to}"), &|s| s.restart(to));
         }
-        for n in 0..self.wire.len() {
-            step(format!("deliver {n}"), &|it| it.deliver(n));
-            step(format!("drop {n}"), &|it| {
-                it.wire.remove(n);
+        for n in 0..self.in_flight.len() {
+            step(format!("deliver {n}"), &|s| s.deliver(n));
+            step(format!("drop {n}"), &|s| {
+                s.in_flight.remove(n);
                 true
             });
         }
         out
     }
 
-    /// An instance lends its share to another or itself, or takes it back.
-    fn tell(&mut self, at: usize, to: usize, lends: bool) -> bool {
-        if self.members[at].asked[to].is_some() || self.wire.len() >= MESSAGES {
+    /// Sends an offer that lends the share to an instance, or takes it back.
+    fn send_offer(&mut self, at: usize, to: usize, lends: bool) -> bool {
+        if self.instances[at].pending[to].is_some() || self.in_flight.len() >= MAX_IN_FLIGHT {
             return false;
         }
-        let (now, stamp) = (self.now, self.members[at].stamps[to]);
-        // Nothing is lent before the other has told a moment.
+        let (now, timestamp) = (self.now, self.instances[at].timestamps[to]);
+        // A share isn't lent before the limiter has reported a timestamp.
         let lent = lends
-            && stamp.is_some()
-            && self.members[at].lender.lend(slot(ORGANISATION), &name(to), false, now);
-        if lends && !lent && stamp.is_some() {
+            && timestamp.is_some()
+            && self.instances[at].lender.lend(slot(ORGANISATION), &name(to), false, now);
+        if lends && !lent && timestamp.is_some() {
             return false;
         }
         let slots = if lent { own_slot() } else { SlotSet::default() };
         self.seq += 1;
-        self.members[at].asked[to] = Some(self.seq);
-        let processes = (self.members[at].process, self.members[to].process);
-        self.wire.push(Message::Lend { from: at, to, seq: self.seq, slots, stamp, processes });
+        self.instances[at].pending[to] = Some(self.seq);
+        let processes = (self.instances[at].process, self.instances[to].process);
+        self.in_flight.push(Message::Offer { from: at, to, seq: self.seq, slots, timestamp, processes });
         true
     }
 
-    fn give_up(&mut self, at: usize, to: usize) -> bool {
-        if self.fault == Fault::GoesOnAtOnce && self.members[at].asked[to].is_some() {
-            self.members[at].lender = Lender::new(self.now - MIN_LOAN_DURATION);
+    fn time_out(&mut self, at: usize, to: usize) -> bool {
+        if self.fault == Fault::ExpiresOnTimeout && self.instances[at].pending[to].is_some() {
+            self.instances[at].lender = Lender::new(self.now - MIN_LOAN_DURATION);
         }
-        self.members[at].asked[to].take().is_some()
+        self.instances[at].pending[to].take().is_some()
     }
 
     fn restart(&mut self, at: usize) -> bool {
-        let waited = if self.fault == Fault::StartsAtOnce { self.now - MIN_LOAN_DURATION } else { self.now };
-        self.members[at] = member(self.members[at].process + 10, waited);
+        let waited =
+            if self.fault == Fault::SkipsStartupWait { self.now - MIN_LOAN_DURATION } else { self.now };
+        self.instances[at] = new_instance(self.instances[at].process + 10, waited);
         self.restarts += 1;
-        self.restarts <= self.size.restarts
+        self.restarts <= self.bounds.restarts
     }
 
     fn deliver(&mut self, n: usize) -> bool {
         let now = self.now;
-        match self.wire.remove(n) {
-            Message::Lend { from, to, seq, slots, stamp, processes: (sender, process) } => {
-                let it = &mut self.members[to];
-                if it.process != process {
+        match self.in_flight.remove(n) {
+            Message::Offer { from, to, seq, slots, timestamp, processes: (sender, process) } => {
+                let receiver = &mut self.instances[to];
+                if receiver.process != process {
                     return false;
                 }
-                self.heard[from][to] = self.heard[from][to].max(seq);
-                let own = it.limiter.timestamp(now);
-                let stamp = if self.fault == Fault::CountsFromArrival { Some(own) } else { stamp };
-                let order = if self.fault == Fault::ForgetsOrder { 1_000 + now + n as u64 } else { seq };
-                let slots = it.limiter.accept(&name(from), order, slots, SHARE, stamp, now);
-                self.wire.push(Message::Used { from: to, to: from, seq, slots, stamp: own, process: sender });
+                self.received[from][to] = self.received[from][to].max(seq);
+                let own = receiver.limiter.timestamp(now);
+                let timestamp = if self.fault == Fault::CountsFromReceipt { Some(own) } else { timestamp };
+                let order = if self.fault == Fault::IgnoresSequence { 1_000 + now + n as u64 } else { seq };
+                let slots = receiver.limiter.accept(&name(from), order, slots, SHARE, timestamp, now);
+                self.in_flight.push(Message::Reply {
+                    from: to,
+                    to: from,
+                    seq,
+                    slots,
+                    timestamp: own,
+                    process: sender,
+                });
             }
-            Message::Used { from, to, seq, slots, stamp, process } => {
-                let it = &mut self.members[to];
-                if it.process != process || it.asked[from] != Some(seq) {
+            Message::Reply { from, to, seq, slots, timestamp, process } => {
+                let receiver = &mut self.instances[to];
+                if receiver.process != process || receiver.pending[from] != Some(seq) {
                     return false;
                 }
-                it.asked[from] = None;
-                it.stamps[from] = Some(stamp);
-                it.lender.release_except(&name(from), slots);
+                receiver.pending[from] = None;
+                receiver.timestamps[from] = Some(timestamp);
+                receiver.lender.release_except(&name(from), slots);
             }
         }
         true
     }
 
-    /// The sum of the shares that a limiter uses at a time from now on.
+    /// Returns the total share used by a limiter after a delay.
     fn used(&self, at: usize, later: u64) -> f64 {
-        let mut it = self.members[at].limiter.clone();
-        it.claim(
+        let mut limiter = self.instances[at].limiter.clone();
+        limiter.claim(
             &Name::from(ORGANISATION),
             Limits { rate: 0.0, burst: 0.0, margin: 0.0 },
             Demand::unprioritised(0),
             self.now + later,
         );
-        it.share(ORGANISATION)
+        limiter.share(ORGANISATION)
     }
 
-    fn is_right(&self) -> bool {
+    fn is_valid(&self) -> bool {
         self.used(0, 0) + self.used(1, 0) <= SHARE
     }
 
-    /// What the future of this state depends on, in times from now.
+    /// Returns a key that identifies states with the same future. Times are relative to the current time.
     fn key(&self) -> String {
-        let age = |it: Option<Timestamp>| {
-            it.map(|it| (it.process, (self.now - it.at).min(2 * MIN_LOAN_DURATION) / TICK))
+        let age = |t: Option<Timestamp>| {
+            t.map(|t| (t.process, (self.now - t.at).min(2 * MIN_LOAN_DURATION) / TICK))
         };
-        let mut live: Vec<u64> = self.members.iter().flat_map(|it| it.asked).flatten().collect();
-        live.extend(self.wire.iter().map(|it| match it {
-            Message::Lend { seq, .. } | Message::Used { seq, .. } => *seq,
+        let mut live: Vec<u64> = self.instances.iter().flat_map(|i| i.pending).flatten().collect();
+        live.extend(self.in_flight.iter().map(|message| match message {
+            Message::Offer { seq, .. } | Message::Reply { seq, .. } => *seq,
         }));
         live.sort_unstable();
         live.dedup();
-        let rank = |seq: u64| live.partition_point(|it| *it < seq);
+        let rank = |seq: u64| live.partition_point(|n| *n < seq);
         let mut key = format!("{} {}", (self.now - BEGIN) / TICK, self.restarts);
-        for (at, it) in self.members.iter().enumerate() {
+        for (at, instance) in self.instances.iter().enumerate() {
             let used: Vec<f64> = (0..4).map(|n| self.used(at, n * TICK)).collect();
             let lends = |to: usize, later: u64| {
-                it.lender.clone().lend(slot(ORGANISATION), &name(to), false, self.now + later * TICK)
+                instance.lender.clone().lend(slot(ORGANISATION), &name(to), false, self.now + later * TICK)
             };
-            let lends: Vec<bool> =
-                (0..2).flat_map(|to| (0..4).map(move |n| (to, n))).map(|it| lends(it.0, it.1)).collect();
-            let asked = it.asked.map(|it| it.map(rank));
-            key += &format!(" {} {used:?} {lends:?} {asked:?} {:?}", it.process, it.stamps.map(age));
+            let lends: Vec<bool> = (0..2)
+                .flat_map(|to| (0..4).map(move |n| (to, n)))
+                .map(|pair| lends(pair.0, pair.1))
+                .collect();
+            let pending = instance.pending.map(|seq| seq.map(rank));
+            key += &format!(
+                " {} {used:?} {lends:?} {pending:?} {:?}",
+                instance.process,
+                instance.timestamps.map(age)
+            );
         }
-        for it in &self.wire {
-            key += &match it {
-                Message::Lend { from, to, seq, slots, stamp, processes } => {
-                    let late = self.heard[*from][*to] > *seq;
-                    format!(" L{from}{to} {} {late} {slots:?} {:?} {processes:?}", rank(*seq), age(*stamp))
+        for message in &self.in_flight {
+            key += &match message {
+                Message::Offer { from, to, seq, slots, timestamp, processes } => {
+                    let late = self.received[*from][*to] > *seq;
+                    format!(
+                        " L{from}{to} {} {late} {slots:?} {:?} {processes:?}",
+                        rank(*seq),
+                        age(*timestamp)
+                    )
                 }
-                Message::Used { from, to, seq, slots, stamp, process } => {
-                    format!(" U{from}{to} {} {slots:?} {:?} {process}", rank(*seq), age(Some(*stamp)))
+                Message::Reply { from, to, seq, slots, timestamp, process } => {
+                    format!(" U{from}{to} {} {slots:?} {:?} {process}", rank(*seq), age(Some(*timestamp)))
                 }
             };
         }
@@ -259,18 +299,18 @@
     }
 }
 
-/// The number of states, and whether all were right.
-fn walk(fault: Fault, size: Size) -> (usize, bool) {
+/// Explores all states. Returns their number, and true if all are valid.
+fn explore(fault: Fault, bounds: Bounds) -> (usize, bool) {
     let mut seen = HashSet::new();
-    let mut open = VecDeque::from([World::new(fault, size)]);
-    while let Some(it) = open.pop_front() {
-        for next in it.next() {
-            if !next.is_right() {
+    let mut queue = VecDeque::from([State::new(fault, bounds)]);
+    while let Some(state) = queue.pop_front() {
+        for next in state.next() {
+            if !next.is_valid() {
                 println!("{:?}", next.trace);
                 return (seen.len(), false);
             }
             if seen.insert(next.key()) {
-                open.push_back(next);
+                queue.push_back(next);
             }
         }
     }
@@ -278,102 +318,102 @@
 }
 
 #[test]
-fn no_share_is_used_in_two_places() {
-    for size in SIZES {
-        let (states, right) = walk(Fault::None, size);
-        println!("{size:?}: {states} states");
-        assert!(right, "{size:?}");
-        assert!(states > 1_000, "{size:?}: {states} states");
+fn no_share_is_used_by_two_limiters() {
+    for bounds in BOUNDS {
+        let (states, valid) = explore(Fault::None, bounds);
+        println!("{bounds:?}: {states} states");
+        assert!(valid, "{bounds:?}");
+        assert!(states > 1_000, "{bounds:?}: {states} states");
     }
 }
 
 #[rstest]
-#[case(Fault::CountsFromArrival, Size { ticks: 3, restarts: 0 })]
-#[case(Fault::StartsAtOnce, Size { ticks: 0, restarts: 1 })]
-#[case(Fault::GoesOnAtOnce, Size { ticks: 0, restarts: 0 })]
-#[case(Fault::ForgetsOrder, Size { ticks: 1, restarts: 0 })]
-fn a_wrong_rule_is_found(#[case] fault: Fault, #[case] size: Size) {
-    assert!(!walk(fault, size).1, "{fault:?}");
+#[case(Fault::CountsFromReceipt, Bounds { ticks: 3, restarts: 0 })]
+#[case(Fault::SkipsStartupWait, Bounds { ticks: 0, restarts: 1 })]
+#[case(Fault::ExpiresOnTimeout, Bounds { ticks: 0, restarts: 0 })]
+#[case(Fault::IgnoresSequence, Bounds { ticks: 1, restarts: 0 })]
+fn injected_fault_is_detected(#[case] fault: Fault, #[case] bounds: Bounds) {
+    assert!(!explore(fault, bounds).1, "{fault:?}");
 }
 
-/// An organisation's limit in the walk of claims: a token in each step, a few at once.
+/// Limit of the organisation in the exploration of claims: one token per step, and a small burst.
 const LIMITS: Limits = Limits { rate: 10.0, burst: 2.0, margin: 1.0 };
-/// A step of time, in microseconds.
-const STEP: u64 = 100_000;
-/// Events in a row.
+/// Length of one time step in the exploration of claims, in microseconds.
+const CLAIM_TICK: u64 = 100_000;
+/// Length of explored event sequences.
 const DEPTH: usize = 7;
 
-/// What is wrong with a bucket's reserve.
+/// Fault injected into the reservation of tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Flaw {
     None,
-    /// What is kept for others is granted beside what the bucket holds.
+    /// Reserved tokens are granted in addition to the tokens of the bucket.
     Adds,
-    /// A place that was promised is a token.
-    Promises,
+    /// A scheduled retry is granted without a token.
+    GrantsRetries,
 }
 
-/// A limiter to which two instances lend, and what it granted.
+/// Limiter with the shares of two instances, and its grants.
 #[derive(Clone)]
-struct Claims {
+struct ClaimState {
     flaw: Flaw,
     limiter: Limiter,
     now: u64,
     seq: u64,
     granted: Vec<(u64, u32)>,
-    /// The times of promised places.
-    told: Vec<u64>,
+    /// Scheduled retry times.
+    retries: Vec<u64>,
 }
 
-impl Claims {
-    fn new(flaw: Flaw) -> Claims {
-        let (limiter, granted, told) = (Limiter::new(1), Vec::new(), Vec::new());
-        let mut it = Claims { flaw, limiter, now: BEGIN, seq: 0, granted, told };
-        it.lend(0, true);
-        it.lend(1, true);
-        it
+impl ClaimState {
+    fn new(flaw: Flaw) -> ClaimState {
+        let (limiter, granted, retries) = (Limiter::new(1), Vec::new(), Vec::new());
+        let mut state = ClaimState { flaw, limiter, now: BEGIN, seq: 0, granted, retries };
+        state.lend(0, true);
+        state.lend(1, true);
+        state
     }
 
-    /// An instance lends its half, or takes it back.
+    /// Lends the half of an instance, or takes it back.
     fn lend(&mut self, at: usize, lends: bool) {
-        let stamp = Some(self.limiter.timestamp(self.now));
+        let timestamp = Some(self.limiter.timestamp(self.now));
         self.seq += 1;
         let slots = if lends { own_slot() } else { SlotSet::default() };
-        self.limiter.accept(&name(at), self.seq, slots, 0.5, stamp, self.now);
+        self.limiter.accept(&name(at), self.seq, slots, 0.5, timestamp, self.now);
     }
 
     fn claim(&mut self, demand: Demand) {
         let grant = self.limiter.claim(&Name::from(ORGANISATION), LIMITS, demand, self.now);
-        let due = self.told.iter().position(|it| *it <= self.now);
+        let due = self.retries.iter().position(|at| *at <= self.now);
         match grant {
             Grant::Granted { count, .. } => self.granted.push((self.now, count)),
-            Grant::Refused(it) if self.flaw == Flaw::Adds && it.reserved => self.granted.push((self.now, 1)),
-            Grant::Refused(_) if self.flaw == Flaw::Promises && due.is_some() => {
-                self.told.remove(due.unwrap_or_default());
+            Grant::Refused(s) if self.flaw == Flaw::Adds && s.reserved => self.granted.push((self.now, 1)),
+            Grant::Refused(_) if self.flaw == Flaw::GrantsRetries && due.is_some() => {
+                self.retries.remove(due.unwrap_or_default());
                 self.granted.push((self.now, 1));
             }
-            Grant::Refused(it) => self.told.push(self.now + it.after),
+            Grant::Refused(s) => self.retries.push(self.now + s.after),
         }
     }
 
-    /// Every state after one event.
-    fn next(&self) -> impl Iterator<Item = Claims> {
+    /// Returns every state after one event.
+    fn next(&self) -> impl Iterator<Item = ClaimState> {
         (0..7).map(|event| {
-            let mut it = self.clone();
+            let mut state = self.clone();
             match event {
-                0 => it.now += STEP,
-                1 => it.now += 5 * STEP,
-                2 => it.lend(1, false),
-                3 => it.claim(Demand::unprioritised(1)),
-                kind => it.claim(Demand::prioritised(2, kind - 4, 10 * STEP)),
+                0 => state.now += CLAIM_TICK,
+                1 => state.now += 5 * CLAIM_TICK,
+                2 => state.lend(1, false),
+                3 => state.claim(Demand::unprioritised(1)),
+                class => state.claim(Demand::prioritised(2, class - 4, 10 * CLAIM_TICK)),
             }
-            it
+            state
         })
     }
 
-    /// Whether what was granted in each window, and what would be now, is within the limit. Half of the shares may have gone:
-    /// that is less, never more.
-    fn is_right(&self) -> bool {
+    /// Returns true if the grants in each window, including those possible now, are within the limit. The bound is that
+    /// of all shares; without half of them fewer operations are granted.
+    fn is_valid(&self) -> bool {
         let mut all = self.granted.clone();
         let mut limiter = self.limiter.clone();
         if let Grant::Granted { count, .. } =
@@ -381,31 +421,30 @@
         {
             all.push((self.now, count));
         }
-        let sum = |from: usize| all[from..].iter().map(|it| it.1).sum::<u32>();
-        let bound = |from: u64| {
-            LIMITS.rate * (self.now - from + MAX_DELAY) as f64 / 1e6 + LIMITS.burst + LIMITS.margin
-        };
-        all.iter().enumerate().all(|(n, it)| f64::from(sum(n)) <= bound(it.0) + 1e-6)
+        let sum = |from: usize| all[from..].iter().map(|grant| grant.1).sum::<u32>();
+        let bound =
+            |t: u64| LIMITS.rate * (self.now - t + MAX_DELAY) as f64 / 1e6 + LIMITS.burst + LIMITS.margin;
+        all.iter().enumerate().all(|(n, grant)| f64::from(sum(n)) <= bound(grant.0) + 1e-6)
     }
 }
 
-/// Whether every order of events keeps within the limit; counts them.
-fn walk_claims(from: &Claims, depth: usize, seen: &mut usize) -> bool {
+/// Returns true if every order of events stays within the limit, and counts the states.
+fn explore_claims(from: &ClaimState, depth: usize, seen: &mut usize) -> bool {
     *seen += 1;
-    from.is_right() && (depth == 0 || from.next().all(|it| walk_claims(&it, depth - 1, seen)))
+    from.is_valid() && (depth == 0 || from.next().all(|next| explore_claims(&next, depth - 1, seen)))
 }
 
 #[test]
-fn claims_of_any_urgency_take_what_the_bucket_holds() {
+fn claims_of_any_urgency_are_bounded_by_the_bucket() {
     let mut states = 0;
-    assert!(walk_claims(&Claims::new(Flaw::None), DEPTH, &mut states));
+    assert!(explore_claims(&ClaimState::new(Flaw::None), DEPTH, &mut states));
     println!("{states} states");
     assert!(states > 900_000, "{states} states");
 }
 
 #[rstest]
 #[case(Flaw::Adds)]
-#[case(Flaw::Promises)]
-fn a_wrong_reserve_is_found(#[case] flaw: Flaw) {
-    assert!(!walk_claims(&Claims::new(flaw), DEPTH, &mut 0), "{flaw:?}");
+#[case(Flaw::GrantsRetries)]
+fn injected_reservation_fault_is_detected(#[case] flaw: Flaw) {
+    assert!(!explore_claims(&ClaimState::new(flaw), DEPTH, &mut 0), "{flaw:?}");
 }
--- a/crates/core/tests/retry_after.rs
+++ b/crates/core/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! When callers that were refused may come back.
+//! Retry times of refused callers.
 
 use {
     pondtrack_core::{
@@ -12,187 +12,194 @@
 /// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 const LIMITS: Limits = Limits { rate: 10.0, burst: 5.0, margin: 0.0 };
-/// Long enough for any caller.
-const LONG: u64 = 60 * SECOND;
+/// Remaining time that exceeds every retry time in these tests.
+const NO_DEADLINE: u64 = 60 * SECOND;
 
-/// A limiter whose organisation has used all.
-fn used_up() -> Limiter {
-    let mut it = Limiter::new(1);
-    let stamp = Some(it.timestamp(SECOND));
+/// Creates a limiter whose organisation has used all tokens.
+fn exhausted() -> Limiter {
+    let mut limiter = Limiter::new(1);
+    let timestamp = Some(limiter.timestamp(SECOND));
     let mut slots = SlotSet::default();
     (0..SLOTS).for_each(|slot| slots.insert(slot));
-    it.accept(&Name::from("n0"), 1, slots, 1.0, stamp, SECOND);
-    claim(&mut it, Demand::unprioritised(100), 0);
-    it
+    limiter.accept(&Name::from("n0"), 1, slots, 1.0, timestamp, SECOND);
+    claim(&mut limiter, Demand::unprioritised(100), 0);
+    limiter
 }
 
-fn claim(it: &mut Limiter, demand: Demand, later: u64) -> Grant {
-    it.claim(&Name::from("acme"), LIMITS, demand, SECOND + later)
+fn claim(limiter: &mut Limiter, demand: Demand, later: u64) -> Grant {
+    limiter.claim(&Name::from("acme"), LIMITS, demand, SECOND + later)
 }
 
-fn refused(it: &mut Limiter, demand: Demand) -> RetrySchedule {
-    match claim(it, demand, 0) {
-        Grant::Refused(places) => places,
+fn refused(limiter: &mut Limiter, demand: Demand) -> RetrySchedule {
+    match claim(limiter, demand, 0) {
+        Grant::Refused(schedule) => schedule,
         Grant::Granted { .. } => panic!("granted"),
     }
 }
 
-fn times(places: RetrySchedule, of: Range<u32>) -> Vec<u64> {
-    of.map(|n| places.retry_after(n, None).delay()).collect()
+fn times(schedule: RetrySchedule, of: Range<u32>) -> Vec<u64> {
+    of.map(|n| schedule.retry_after(n, None).delay()).collect()
 }
 
 #[test]
-fn whoever_is_refused_has_a_place_of_its_own() {
-    let mut it = used_up();
-    let mut told = Vec::new();
+fn refused_callers_get_distinct_retry_times() {
+    let mut limiter = exhausted();
+    let mut delays = Vec::new();
     for _ in 0..5 {
-        told.extend(times(refused(&mut it, Demand::prioritised(3, 1, LONG)), 0..3));
+        delays.extend(times(refused(&mut limiter, Demand::prioritised(3, 1, NO_DEADLINE)), 0..3));
     }
-    // Tokens come in every 100 ms, and nobody is told to come sooner than the one before it can be served.
-    assert!(told.windows(2).all(|it| it[0] + 100_000 <= it[1]), "{told:?}");
-    assert!(told[0] >= 10_000 && told[14] <= 3 * SECOND, "{told:?}");
+    // A token accrues every 100 ms, and no caller retries before the token of the previous one has accrued.
+    assert!(delays.windows(2).all(|pair| pair[0] + 100_000 <= pair[1]), "{delays:?}");
+    assert!(delays[0] >= 10_000 && delays[14] <= 3 * SECOND, "{delays:?}");
 }
 
 #[test]
-fn a_place_after_the_callers_time_is_said_to_be_too_late() {
-    let places = RetrySchedule { after: 50_000, step: 100_000, reserved: false };
-    assert_eq!(places.retry_after(0, Some(50_000)), RetryAfter::Room { after: 50_000 });
-    assert_eq!(places.retry_after(1, Some(50_000)), RetryAfter::TooLate { after: 150_000 });
-    assert_eq!(places.retry_after(1, None), RetryAfter::Room { after: 150_000 });
+fn retry_time_after_the_deadline_is_too_late() {
+    let schedule = RetrySchedule { after: 50_000, step: 100_000, reserved: false };
+    assert_eq!(schedule.retry_after(0, Some(50_000)), RetryAfter::Room { after: 50_000 });
+    assert_eq!(schedule.retry_after(1, Some(50_000)), RetryAfter::TooLate { after: 150_000 });
+    assert_eq!(schedule.retry_after(1, None), RetryAfter::Room { after: 150_000 });
 }
 
 #[test]
-fn who_comes_too_late_takes_no_place() {
-    let mut it = used_up();
-    let first = refused(&mut it, Demand::prioritised(1, 1, LONG));
+fn caller_without_time_takes_no_retry_time() {
+    let mut limiter = exhausted();
+    let first = refused(&mut limiter, Demand::prioritised(1, 1, NO_DEADLINE));
     for _ in 0..50 {
-        let places = refused(&mut it, Demand::prioritised(1, 1, 1_000));
-        assert!(matches!(places.retry_after(0, Some(1_000)), RetryAfter::TooLate { .. }));
+        let schedule = refused(&mut limiter, Demand::prioritised(1, 1, 1_000));
+        assert!(matches!(schedule.retry_after(0, Some(1_000)), RetryAfter::TooLate { .. }));
     }
-    let next = refused(&mut it, Demand::prioritised(1, 1, LONG));
+    let next = refused(&mut limiter, Demand::prioritised(1, 1, NO_DEADLINE));
     assert!(next.after <= first.after + 3 * next.step, "{first:?}, {next:?}");
 }
 
 #[test]
-fn places_that_nobody_takes_are_forgotten() {
-    let mut it = used_up();
-    let last = refused(&mut it, Demand::prioritised(8, 1, LONG)).retry_after(7, None).delay();
-    let Grant::Granted { count, .. } = claim(&mut it, Demand::prioritised(1, 1, LONG), last + 10_000) else {
+fn unused_retry_times_expire() {
+    let mut limiter = exhausted();
+    let last = refused(&mut limiter, Demand::prioritised(8, 1, NO_DEADLINE)).retry_after(7, None).delay();
+    let Grant::Granted { count, .. } =
+        claim(&mut limiter, Demand::prioritised(1, 1, NO_DEADLINE), last + 10_000)
+    else {
         panic!()
     };
     assert_eq!(count, 1);
 }
 
 #[test]
-fn a_more_urgent_caller_doesn_t_come_after_the_places_of_others() {
-    let mut it = used_up();
-    refused(&mut it, Demand::prioritised(20, 1, LONG));
-    let places = refused(&mut it, Demand::prioritised(1, 0, LONG));
-    assert!(places.after <= 200_000, "{places:?}");
+fn urgent_caller_is_not_delayed_by_other_retries() {
+    let mut limiter = exhausted();
+    refused(&mut limiter, Demand::prioritised(20, 1, NO_DEADLINE));
+    let schedule = refused(&mut limiter, Demand::prioritised(1, 0, NO_DEADLINE));
+    assert!(schedule.after <= 200_000, "{schedule:?}");
 }
 
-const PLACE: RetrySchedule = RetrySchedule { after: 60_000, step: 20_000, reserved: true };
+const SCHEDULE: RetrySchedule = RetrySchedule { after: 60_000, step: 20_000, reserved: true };
 
 fn urgency(priority: u8) -> Option<Urgency> {
     Some(Urgency { priority, remaining: SECOND })
 }
 
 #[test]
-fn an_instance_answers_by_itself_until_a_place_is_due() {
+fn refusal_is_cached_until_a_retry_is_due() {
     let acme = Name::from("acme");
-    let mut it = RefusalCache::default();
-    assert_eq!(it.lookup(&acme, urgency(1), SECOND), None);
-    assert_eq!(it.insert(&acme, urgency(1), PLACE, SECOND), RetryAfter::Room { after: 60_000 });
-    // Others come before: each has a place of its own, and the limiter isn't asked.
+    let mut cache = RefusalCache::default();
+    assert_eq!(cache.lookup(&acme, urgency(1), SECOND), None);
+    assert_eq!(cache.insert(&acme, urgency(1), SCHEDULE, SECOND), RetryAfter::Room { after: 60_000 });
+    // Each earlier caller gets a retry time of its own without a claim to the limiter.
     for n in 1..10 {
-        let told = it.lookup(&acme, urgency(1), SECOND).map(RetryAfter::delay);
-        assert_eq!(told, Some(60_000 + n * 20_000));
+        let delay = cache.lookup(&acme, urgency(1), SECOND).map(RetryAfter::delay);
+        assert_eq!(delay, Some(60_000 + n * 20_000));
     }
-    // Nobody has to wait for those who were told that it is too late.
+    // Callers that can't wait for their retry time don't delay others.
     let late = Some(Urgency { priority: 1, remaining: 0 });
     assert!(
-        (0..10)
-            .all(|_| matches!(it.lookup(&acme, late, SECOND), Some(RetryAfter::TooLate { after: 260_000 })))
+        (0..10).all(|_| matches!(
+            cache.lookup(&acme, late, SECOND),
+            Some(RetryAfter::TooLate { after: 260_000 })
+        ))
     );
-    // The limiter is asked once for each place.
-    assert_eq!(it.lookup(&acme, urgency(1), SECOND + 60_000), None);
-    it.insert(&acme, urgency(1), RetrySchedule { after: 500_000, ..PLACE }, SECOND + 60_000);
-    assert!(it.lookup(&acme, urgency(1), SECOND + 60_000).is_some());
-    assert_eq!(it.lookup(&acme, urgency(1), SECOND + 80_000), None);
-    assert!(it.lookup(&acme, urgency(1), SECOND + 81_000).is_some());
-    // A refusal isn't believed for long.
-    assert_eq!(it.lookup(&acme, urgency(1), SECOND + 300_000), None);
-    assert_eq!(it.lookup(&acme, urgency(1), 3 * SECOND), None);
+    // One claim is sent to the limiter for each scheduled retry.
+    assert_eq!(cache.lookup(&acme, urgency(1), SECOND + 60_000), None);
+    cache.insert(&acme, urgency(1), RetrySchedule { after: 500_000, ..SCHEDULE }, SECOND + 60_000);
+    assert!(cache.lookup(&acme, urgency(1), SECOND + 60_000).is_some());
+    assert_eq!(cache.lookup(&acme, urgency(1), SECOND + 80_000), None);
+    assert!(cache.lookup(&acme, urgency(1), SECOND + 81_000).is_some());
+    // The cached refusal expires.
+    assert_eq!(cache.lookup(&acme, urgency(1), SECOND + 300_000), None);
+    assert_eq!(cache.lookup(&acme, urgency(1), 3 * SECOND), None);
 }
 
 #[test]
-fn nobody_is_refused_by_what_others_were_told() {
+fn refusal_is_not_applied_to_other_callers() {
     let acme = Name::from("acme");
-    let mut it = RefusalCache::default();
-    it.insert(&acme, urgency(1), PLACE, SECOND);
-    assert_eq!(it.lookup(&acme, urgency(0), SECOND), None);
-    assert_eq!(it.lookup(&acme, urgency(2), SECOND), None);
-    assert_eq!(it.lookup(&Name::from("beta"), urgency(1), SECOND), None);
-    assert!(it.lookup(&acme, urgency(1), SECOND).is_some());
+    let mut cache = RefusalCache::default();
+    cache.insert(&acme, urgency(1), SCHEDULE, SECOND);
+    assert_eq!(cache.lookup(&acme, urgency(0), SECOND), None);
+    assert_eq!(cache.lookup(&acme, urgency(2), SECOND), None);
+    assert_eq!(cache.lookup(&Name::from("beta"), urgency(1), SECOND), None);
+    assert!(cache.lookup(&acme, urgency(1), SECOND).is_some());
 }
 
 #[test]
-fn operations_that_aren_t_told_apart_are_all_told_the_same_moment() {
+fn unprioritised_callers_get_the_same_retry_time() {
     let acme = Name::from("acme");
-    let mut it = RefusalCache::default();
-    let told = it.insert(&acme, None, RetrySchedule::at(1_000), SECOND);
-    assert_eq!(told, RetryAfter::Room { after: 1_000 });
-    let known = |it: &mut RefusalCache, later| it.lookup(&acme, None, SECOND + later).map(RetryAfter::delay);
-    assert_eq!(known(&mut it, 0), Some(5_000));
-    assert_eq!(known(&mut it, 4_000), Some(1_000));
-    assert_eq!(known(&mut it, 5_000), None);
-    it.insert(&acme, None, RetrySchedule::at(SECOND), SECOND);
-    assert_eq!(known(&mut it, 0), Some(200_000));
+    let mut cache = RefusalCache::default();
+    let retry = cache.insert(&acme, None, RetrySchedule::at(1_000), SECOND);
+    assert_eq!(retry, RetryAfter::Room { after: 1_000 });
+    let known =
+        |cache: &mut RefusalCache, later| cache.lookup(&acme, None, SECOND + later).map(RetryAfter::delay);
+    assert_eq!(known(&mut cache, 0), Some(5_000));
+    assert_eq!(known(&mut cache, 4_000), Some(1_000));
+    assert_eq!(known(&mut cache, 5_000), None);
+    cache.insert(&acme, None, RetrySchedule::at(SECOND), SECOND);
+    assert_eq!(known(&mut cache, 0), Some(200_000));
 }
 
 #[test]
-fn what_is_granted_for_several_goes_to_the_first() {
-    let grant = Grant::Granted { count: 2, after: 7, rest: PLACE };
+fn partial_grant_goes_to_the_first_operations() {
+    let grant = Grant::Granted { count: 2, after: 7, rest: SCHEDULE };
     assert!((0..2).all(|n| matches!(grant.nth(n), Grant::Granted { .. })));
-    assert_eq!(grant.nth(2), Grant::Refused(PLACE));
-    assert_eq!(grant.nth(4), Grant::Refused(RetrySchedule { after: 100_000, ..PLACE }));
-    assert_eq!(Grant::Refused(PLACE).nth(1), Grant::Refused(RetrySchedule { after: 80_000, ..PLACE }));
+    assert_eq!(grant.nth(2), Grant::Refused(SCHEDULE));
+    assert_eq!(grant.nth(4), Grant::Refused(RetrySchedule { after: 100_000, ..SCHEDULE }));
+    assert_eq!(Grant::Refused(SCHEDULE).nth(1), Grant::Refused(RetrySchedule { after: 80_000, ..SCHEDULE }));
 }
 
-/// A limit may be as low as a configuration says, and a message may say anything.
+/// A configuration may set any limit, and a message may contain any value. Neither may overflow a retry time.
 #[test]
-fn no_time_is_too_long_to_be_told() {
-    let mut it = used_up();
+fn extreme_values_do_not_overflow() {
+    let mut limiter = exhausted();
     let none = Limits { rate: 1e-300, burst: 0.0, margin: 0.0 };
     let last = Demand::prioritised(u32::MAX, 1, u64::MAX);
     for _ in 0..3 {
-        let Grant::Refused(places) = it.claim(&Name::from("acme"), none, last, 2 * SECOND) else { panic!() };
-        assert!(matches!(places.retry_after(u32::MAX, Some(SECOND)), RetryAfter::TooLate { .. }));
-        let mut known = RefusalCache::default();
-        let mad = RetrySchedule { after: u64::MAX, step: u64::MAX, reserved: true };
-        known.insert(&Name::from("acme"), urgency(1), mad, SECOND);
-        known.lookup(&Name::from("acme"), urgency(1), SECOND);
+        let Grant::Refused(schedule) = limiter.claim(&Name::from("acme"), none, last, 2 * SECOND) else {
+            panic!()
+        };
+        assert!(matches!(schedule.retry_after(u32::MAX, Some(SECOND)), RetryAfter::TooLate { .. }));
+        let mut cache = RefusalCache::default();
+        let extreme = RetrySchedule { after: u64::MAX, step: u64::MAX, reserved: true };
+        cache.insert(&Name::from("acme"), urgency(1), extreme, SECOND);
+        cache.lookup(&Name::from("acme"), urgency(1), SECOND);
     }
 }
 
-/// Whoever comes after one that came too late is told no sooner place than there is.
+/// A caller that can't wait for its retry time leaves the time to the next one, which must not get an earlier one.
 #[test]
-fn a_refusal_that_comes_too_late_is_known_to_the_next() {
+fn unused_retry_time_is_given_to_the_next_caller() {
     let acme = Name::from("acme");
-    let mut it = RefusalCache::default();
-    let late = RetrySchedule { after: 5 * SECOND, ..PLACE };
-    assert_eq!(it.insert(&acme, urgency(1), late, SECOND), RetryAfter::TooLate { after: 5 * SECOND });
-    assert!(matches!(it.lookup(&acme, urgency(1), SECOND), Some(RetryAfter::TooLate { .. })));
-    // The place is still there, for one that can wait for it.
-    let patient = Some(Urgency { priority: 1, remaining: LONG });
-    assert_eq!(it.lookup(&acme, patient, SECOND), Some(RetryAfter::Room { after: 5 * SECOND }));
-    assert_eq!(it.lookup(&acme, patient, SECOND), Some(RetryAfter::Room { after: 5 * SECOND + 20_000 }));
-    // It holds as long as the refusal does, and no longer.
-    assert_eq!(it.lookup(&acme, Some(Urgency { priority: 2, remaining: LONG }), SECOND), None);
-    let mut it = RefusalCache::default();
-    it.insert(&acme, urgency(1), late, SECOND);
-    assert_eq!(it.lookup(&acme, urgency(1), SECOND + 200_000), None);
-    it.insert(&acme, urgency(1), PLACE, SECOND + 200_000);
-    let told = it.lookup(&acme, urgency(1), SECOND + 200_000).map(RetryAfter::delay);
-    assert_eq!(told, Some(80_000));
+    let mut cache = RefusalCache::default();
+    let late = RetrySchedule { after: 5 * SECOND, ..SCHEDULE };
+    assert_eq!(cache.insert(&acme, urgency(1), late, SECOND), RetryAfter::TooLate { after: 5 * SECOND });
+    assert!(matches!(cache.lookup(&acme, urgency(1), SECOND), Some(RetryAfter::TooLate { .. })));
+    // A caller that can wait gets the unused retry time.
+    let patient = Some(Urgency { priority: 1, remaining: NO_DEADLINE });
+    assert_eq!(cache.lookup(&acme, patient, SECOND), Some(RetryAfter::Room { after: 5 * SECOND }));
+    assert_eq!(cache.lookup(&acme, patient, SECOND), Some(RetryAfter::Room { after: 5 * SECOND + 20_000 }));
+    // The retry time is valid only for this priority, and only as long as the refusal.
+    assert_eq!(cache.lookup(&acme, Some(Urgency { priority: 2, remaining: NO_DEADLINE }), SECOND), None);
+    let mut cache = RefusalCache::default();
+    cache.insert(&acme, urgency(1), late, SECOND);
+    assert_eq!(cache.lookup(&acme, urgency(1), SECOND + 200_000), None);
+    cache.insert(&acme, urgency(1), SCHEDULE, SECOND + 200_000);
+    let delay = cache.lookup(&acme, urgency(1), SECOND + 200_000).map(RetryAfter::delay);
+    assert_eq!(delay, Some(80_000));
 }
--- a/crates/core/tests/status_reports.rs
+++ b/crates/core/tests/status_reports.rs
@@ -1,4 +1,4 @@
-//! Accounts of servers that instances tell each other, late, in any order and more than once.
+//! Status reports of servers relayed between instances, with delays, reordering and duplicates.
 
 use {
     pondtrack_core::{
@@ -11,32 +11,33 @@
     rand_pcg::Pcg64Mcg,
 };
 
-/// The load: a primary that writes at every step and a replica that follows, both asked by a home at random; what it knows
-/// goes on to a second instance and from there to a third, over ways that take up to `CROSSING`.
+/// Number of steps. A primary writes at every step and a replica follows. The home polls both at random times. Its
+/// reports are relayed to a second instance and from there to a third.
 const STEPS: Time = 4_000;
-const CROSSING: Time = 40;
-/// Answers of servers take up to this long.
-const ANSWER: Time = 30;
+/// Maximum network delay between two instances.
+const MAX_DELAY: Time = 40;
+/// Maximum time until a server responds.
+const MAX_RESPONSE_TIME: Time = 30;
 const SEEDS: u64 = 200;
 const PRIMARY: usize = 0;
 const REPLICA: usize = 1;
 
-/// An account, and since when it was asked for at the latest, as an instance takes it.
+/// Status report of a server, with the latest time at which it may have been requested.
 #[derive(Clone, Copy)]
-struct Account {
+struct Report {
     server: usize,
     at: Mark,
     asked: Time,
 }
 
-/// Something under way.
-struct Way {
-    comes: Time,
+/// Report in flight.
+struct InFlight {
+    arrives_at: Time,
     to: usize,
-    account: Account,
+    report: Report,
 }
 
-/// What the group is at a time: term 2 begins half way, and loses what the replica lacked.
+/// Actual state of the group. Term 2 begins halfway and loses the entries that the replica hadn't received.
 struct Truth {
     change: Time,
 }
@@ -46,137 +47,142 @@
         Term(if now < self.change { 1 } else { 2 })
     }
 
-    /// The end of a server's log.
+    /// Returns the end of a server's log.
     fn log(&self, server: usize, now: Time) -> Mark {
         let lsn = if server == REPLICA { now - now % 7 } else { now };
         Mark { term: self.term(now), lsn: Lsn(lsn) }
     }
 
-    /// The last position that had been acknowledged before a time.
+    /// Returns the last position acknowledged before a time.
     fn acknowledged(&self, before: Time) -> Lsn {
         self.log(REPLICA, before.saturating_sub(1)).lsn
     }
 }
 
-/// An instance's evidence.
-struct Seen {
+/// Evidence of one instance.
+struct Evidence {
     fresh: Freshness,
     gate: Gate,
-    /// What it tells: the latest account of each server.
-    known: [Option<Account>; 2],
+    /// Latest report of each server, which is relayed to other instances.
+    latest: [Option<Report>; 2],
     offset: Time,
 }
 
-impl Seen {
-    fn new(offset: Time) -> Seen {
-        Seen { fresh: Freshness::new(2, 1), gate: Gate::new(2, 1), known: [None; 2], offset }
+impl Evidence {
+    fn new(offset: Time) -> Evidence {
+        Evidence { fresh: Freshness::new(2, 1), gate: Gate::new(2, 1), latest: [None; 2], offset }
     }
 
-    fn take(&mut self, it: Account) {
-        self.fresh.begin(it.at.term);
-        self.gate.begin(it.at.term);
-        match it.server {
-            PRIMARY => self.fresh.observe(it.at.term, it.at, it.asked),
+    fn apply(&mut self, report: Report) {
+        self.fresh.begin(report.at.term);
+        self.gate.begin(report.at.term);
+        match report.server {
+            PRIMARY => self.fresh.observe(report.at.term, report.at, report.asked),
             _ => {
-                self.fresh.confirm(it.server, it.at.term, it.asked);
-                self.gate.observe(it.server, it.at.term, it.at);
+                self.fresh.confirm(report.server, report.at.term, report.asked);
+                self.gate.observe(report.server, report.at.term, report.at);
             }
         }
-        let known = &mut self.known[it.server];
-        if known.is_none_or(|old| old.asked < it.asked) {
-            *known = Some(it);
+        let latest = &mut self.latest[report.server];
+        if latest.is_none_or(|old| old.asked < report.asked) {
+            *latest = Some(report);
         }
     }
 }
 
-/// What one schedule showed.
+/// Coverage of one schedule.
 #[derive(Default)]
-struct Shown {
-    handed: usize,
-    let_out: usize,
+struct Coverage {
+    required: usize,
+    durable: usize,
 }
 
-fn schedule(seed: u64, age: fn(Time, Time) -> Time, asked: fn(Time, Time) -> Option<Time>) -> Shown {
+fn schedule(seed: u64, age: fn(Time, Time) -> Time, asked: fn(Time, Time) -> Option<Time>) -> Coverage {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let truth = Truth { change: 10_000 + STEPS / 2 };
-    // Clocks are not compared.
-    let mut seen = [5, 7_000, 2_000].map(Seen::new);
-    let mut ways: Vec<Way> = Vec::new();
-    let mut shown = Shown::default();
+    // Each instance has a clock of its own.
+    let mut evidence = [5, 7_000, 2_000].map(Evidence::new);
+    let mut in_flight: Vec<InFlight> = Vec::new();
+    let mut coverage = Coverage::default();
     for now in 10_000..10_000 + STEPS {
         if rng.random_range(0..20) == 0 {
             let server = rng.random_range(0..2);
-            let answered = now + rng.random_range(1..ANSWER);
-            let asked = now - seen[0].offset;
-            let account = Account { server, at: truth.log(server, answered), asked };
-            ways.push(Way { comes: answered + rng.random_range(1..CROSSING), to: 0, account });
+            let answered = now + rng.random_range(1..MAX_RESPONSE_TIME);
+            let asked = now - evidence[0].offset;
+            let report = Report { server, at: truth.log(server, answered), asked };
+            in_flight.push(InFlight { arrives_at: answered + rng.random_range(1..MAX_DELAY), to: 0, report });
         }
         if rng.random_range(0..10) == 0 {
             let to = rng.random_range(1..3);
-            let teller = &seen[to - 1];
-            // The question was sent a while ago and came now; the answer comes later.
-            let sent = now - rng.random_range(1..CROSSING) - seen[to].offset;
-            let came = now - teller.offset;
-            for it in teller.known.into_iter().flatten() {
-                let Some(asked) = asked(sent, age(came, it.asked)) else { continue };
-                let account = Account { asked, ..it };
+            let source = &evidence[to - 1];
+            // The request was sent earlier and arrives now. The response arrives later.
+            let sent = now - rng.random_range(1..MAX_DELAY) - evidence[to].offset;
+            let received = now - source.offset;
+            for report in source.latest.into_iter().flatten() {
+                let Some(asked) = asked(sent, age(received, report.asked)) else { continue };
+                let report = Report { asked, ..report };
                 for _ in 0..rng.random_range(1..3) {
-                    ways.push(Way { comes: now + rng.random_range(1..4 * CROSSING), to, account });
+                    in_flight.push(InFlight {
+                        arrives_at: now + rng.random_range(1..4 * MAX_DELAY),
+                        to,
+                        report,
+                    });
                 }
             }
         }
-        ways.retain(|it| {
-            if it.comes <= now {
-                seen[it.to].take(it.account);
+        in_flight.retain(|m| {
+            if m.arrives_at <= now {
+                evidence[m.to].apply(m.report);
             }
-            it.comes > now
+            m.arrives_at > now
         });
-        for it in &seen {
-            check(&truth, it, now, &mut rng, &mut shown);
+        for instance in &evidence {
+            check(&truth, instance, now, &mut rng, &mut coverage);
         }
     }
-    shown
+    coverage
 }
 
-/// What is handed out holds all that had been acknowledged by then, and nothing is let out that no replica has.
-fn check(truth: &Truth, seen: &Seen, now: Time, rng: &mut Pcg64Mcg, shown: &mut Shown) {
-    let since = now - seen.offset - rng.random_range(0..400);
-    if let Some((at, needed)) = seen.fresh.needed(since) {
-        let known = truth.acknowledged(at.min(now - seen.offset) + seen.offset);
+/// Checks that a required position covers all positions acknowledged by its time, and that no position counts as
+/// durable that the replica hasn't received.
+fn check(truth: &Truth, evidence: &Evidence, now: Time, rng: &mut Pcg64Mcg, coverage: &mut Coverage) {
+    let since = now - evidence.offset - rng.random_range(0..400);
+    if let Some((at, needed)) = evidence.fresh.needed(since) {
+        let known = truth.acknowledged(at.min(now - evidence.offset) + evidence.offset);
         assert!(at >= since && needed.lsn >= known, "{needed:?} at {at} lacks {known:?}");
-        // A term that had ended by then is never taken for confirmed.
-        assert!(needed.term >= truth.term(at + seen.offset), "{needed:?} at {at}");
-        assert!(needed.lsn <= truth.log(PRIMARY, now).lsn, "{needed:?} is of the future");
-        shown.handed += 1;
+        // A term that had ended by that time is never confirmed.
+        assert!(needed.term >= truth.term(at + evidence.offset), "{needed:?} at {at}");
+        assert!(needed.lsn <= truth.log(PRIMARY, now).lsn, "{needed:?} is in the future");
+        coverage.required += 1;
     }
-    let durable = seen.gate.durable();
-    assert!(durable <= truth.log(REPLICA, now).lsn, "{durable:?} is let out, and no replica has it");
-    shown.let_out += usize::from(durable > Lsn(0));
+    let durable = evidence.gate.durable();
+    assert!(durable <= truth.log(REPLICA, now).lsn, "{durable:?} is durable, but not on the replica");
+    coverage.durable += usize::from(durable > Lsn(0));
 }
 
 #[test]
-fn what_was_told_late_and_in_any_order_is_never_taken_for_younger_than_it_is() {
-    let mut all = Shown::default();
+fn delayed_and_reordered_reports_are_never_considered_newer() {
+    let mut all = Coverage::default();
     for seed in 0..SEEDS {
-        let it = schedule(seed, fresh::age, fresh::asked);
-        all.handed += it.handed;
-        all.let_out += it.let_out;
+        let coverage = schedule(seed, fresh::age, fresh::asked);
+        all.required += coverage.required;
+        all.durable += coverage.durable;
     }
-    // The schedules reach what they are for.
-    assert!(all.handed > 100_000 && all.let_out > 100_000, "{} {}", all.handed, all.let_out);
+    // The schedules exercise both checks.
+    assert!(all.required > 100_000 && all.durable > 100_000, "{} {}", all.required, all.durable);
 }
 
 #[test]
 #[should_panic(expected = "lacks")]
-fn an_age_that_counts_from_the_answer_is_found_by_the_same_schedules() {
+fn age_counted_from_the_response_is_detected() {
     for seed in 0..SEEDS {
-        schedule(seed, fresh::age, |sent, age| fresh::asked(sent + CROSSING, age));
+        schedule(seed, fresh::age, |sent, age| fresh::asked(sent + MAX_DELAY, age));
     }
 }
 
 #[test]
 #[should_panic(expected = "lacks")]
-fn ages_that_do_not_add_up_are_found_by_the_same_schedules() {
+fn ages_that_are_not_accumulated_are_detected() {
     for seed in 0..SEEDS {
         schedule(seed, |_, _| 0, fresh::asked);
     }
