--- a/crates/core/tests/urgency.rs
+++ b/crates/core/tests/urgency.rs
@@ -1,5 +1,5 @@
-//! Who gets an organisation's tokens where it asks for more than its quota, and whether those who were refused find room
-//! when they come back.
+//! Distribution of an organisation's tokens by priority when it exceeds its quota, and success of refused callers that
+//! retry at their scheduled times.
 
 use {
     pondtrack_core::{
@@ -16,122 +16,131 @@
 /// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 const LIMITS: Limits = Limits { rate: 60.0, burst: 30.0, margin: 0.0 };
-/// Callers of each kind, by priority, of eight.
-const MIX: [f64; 3] = [1.0, 5.0, 2.0];
-/// The callers' time for one operation.
-const PATIENCE: u64 = SECOND;
-/// Times that a caller comes back.
-const RETRIES: u32 = 2;
-/// What a caller's way back varies by.
+/// Weight of each priority among the callers, in eighths.
+const WEIGHTS: [f64; 3] = [1.0, 5.0, 2.0];
+/// Time for which a caller waits for one operation, including retries.
+const CALLER_TIMEOUT: u64 = SECOND;
+/// Maximum number of retries of a caller.
+const MAX_RETRIES: u32 = 2;
+/// Maximum network jitter of a retry.
 const JITTER: u64 = 2_000;
-/// Instances that lend their shares, how often they do, and for how long all is played.
+/// Number of instances that lend their shares.
 const LENDERS: usize = 9;
-const PERIOD: u64 = 400_000;
-const PLAYED: u64 = 20 * SECOND;
+/// Interval between renewals of the loans.
+const RENEWAL_INTERVAL: u64 = 400_000;
+/// Duration of a simulation.
+const DURATION: u64 = 20 * SECOND;
 
-/// How callers come.
+/// Arrival pattern of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Pattern {
+    /// Poisson arrivals.
     Evenly,
-    /// Four times a second, all at once.
+    /// Four simultaneous batches per second.
     Waves,
 }
 
-/// What became of the callers of a kind.
+/// Outcome of the callers of one priority.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct Outcome {
     callers: u32,
     granted: u32,
-    /// Came back at their places, and found no room.
-    back: u32,
-    again: u32,
+    /// Number of retries at scheduled times.
+    retried: u32,
+    /// Number of retries that were refused.
+    refused: u32,
 }
 
-/// An organisation's callers before its limiter.
-struct World {
+/// Simulation of an organisation's callers and its limiter.
+struct Simulation {
     rng: Pcg64Mcg,
     limiter: Limiter,
     now: u64,
     seq: u64,
-    lent: u64,
-    /// Whether claims say how urgent they are.
-    urgent: bool,
-    kinds: [Tally; 3],
-    /// When each grant began.
+    renewed_at: u64,
+    /// True if claims state their urgency.
+    prioritised: bool,
+    outcomes: [Outcome; 3],
+    /// Time of each granted operation.
     granted: Vec<u64>,
-    /// Callers that come: when, of which kind, until when, how often they came before.
-    coming: BinaryHeap<Reverse<(u64, u8, u64, u32)>>,
-    /// The moments that callers were told.
-    told: Vec<(u8, u64)>,
+    /// Pending claims: time, priority, deadline and number of retries so far.
+    pending: BinaryHeap<Reverse<(u64, u8, u64, u32)>>,
+    /// Retry times given to callers, with their priority.
+    retries: Vec<(u8, u64)>,
 }
 
-impl World {
-    fn new(seed: u64, urgent: bool) -> World {
-        let mut it = World {
+impl Simulation {
+    fn new(seed: u64, prioritised: bool) -> Simulation {
+        let mut sim = Simulation {
             rng: Pcg64Mcg::seed_from_u64(seed),
             limiter: Limiter::new(1),
             now: SECOND,
             seq: 0,
-            lent: 0,
-            urgent,
-            kinds: Default::default(),
+            renewed_at: 0,
+            prioritised,
+            outcomes: Default::default(),
             granted: Vec::new(),
-            coming: BinaryHeap::new(),
-            told: Vec::new(),
+            pending: BinaryHeap::new(),
+            retries: Vec::new(),
         };
-        it.lend();
-        it
+        sim.lend();
+        sim
     }
 
     fn lend(&mut self) {
         let mut slots = SlotSet::default();
         (0..SLOTS).for_each(|slot| slots.insert(slot));
-        let stamp = Some(self.limiter.timestamp(self.now));
+        let timestamp = Some(self.limiter.timestamp(self.now));
         self.seq += 1;
-        self.lent = self.now;
-        for it in 0..LENDERS {
-            let name = Name::from(format!("n{it}"));
-            self.limiter.accept(&name, self.seq, slots, 1.0 / LENDERS as f64, stamp, self.now);
+        self.renewed_at = self.now;
+        for n in 0..LENDERS {
+            let name = Name::from(format!("n{n}"));
+            self.limiter.accept(&name, self.seq, slots, 1.0 / LENDERS as f64, timestamp, self.now);
         }
     }
 
-    /// Callers at some times the quota, from now on.
-    fn call(&mut self, load: f64, pattern: Pattern, long: u64) {
-        let end = self.now + long;
-        for (priority, weight) in MIX.iter().enumerate() {
-            let rate = LIMITS.rate * load * weight / MIX.iter().sum::<f64>();
+    /// Schedules callers at a multiple of the quota, from now on.
+    fn add_callers(&mut self, load: f64, pattern: Pattern, duration: u64) {
+        let end = self.now + duration;
+        for (priority, weight) in WEIGHTS.iter().enumerate() {
+            let rate = LIMITS.rate * load * weight / WEIGHTS.iter().sum::<f64>();
             let mut at = self.now as f64;
             loop {
                 at += -self.rng.random_range(f64::EPSILON..1.0).ln() / rate * SECOND as f64;
                 if at >= end as f64 {
                     break;
                 }
-                let came = match pattern {
+                let arrival = match pattern {
                     Pattern::Evenly => at as u64,
                     Pattern::Waves => {
                         at as u64 / (SECOND / 4) * (SECOND / 4) + self.rng.random_range(0..JITTER)
                     }
                 };
-                self.kinds[priority].callers += 1;
-                self.coming.push(Reverse((came.max(self.now), priority as u8, came + PATIENCE, 0)));
+                self.outcomes[priority].callers += 1;
+                self.pending.push(Reverse((
+                    arrival.max(self.now),
+                    priority as u8,
+                    arrival + CALLER_TIMEOUT,
+                    0,
+                )));
             }
         }
     }
 
-    /// Lets all callers come.
-    fn play(&mut self) {
-        self.play_until(u64::MAX);
+    /// Processes all claims.
+    fn run(&mut self) {
+        self.run_until(u64::MAX);
     }
 
-    /// Lets those come that come before a time.
-    fn play_until(&mut self, until: u64) {
-        while let Some(Reverse((at, priority, end, tries))) = self.coming.pop() {
+    /// Processes the claims before a time.
+    fn run_until(&mut self, until: u64) {
+        while let Some(Reverse((at, priority, end, tries))) = self.pending.pop() {
             if at >= until {
                 self.now = until;
                 return;
             }
-            while self.lent + PERIOD <= at {
-                self.now = self.lent + PERIOD;
+            while self.renewed_at + RENEWAL_INTERVAL <= at {
+                self.now = self.renewed_at + RENEWAL_INTERVAL;
                 self.lend();
             }
             self.now = at;
@@ -142,23 +151,23 @@
     fn claim(&mut self, priority: u8, end: u64, tries: u32) {
         let left = end.saturating_sub(self.now);
         let demand =
-            if self.urgent { Demand::prioritised(1, priority, left) } else { Demand::unprioritised(1) };
+            if self.prioritised { Demand::prioritised(1, priority, left) } else { Demand::unprioritised(1) };
         let grant = self.limiter.claim(&Name::from("acme"), LIMITS, demand, self.now);
-        let it = &mut self.kinds[usize::from(priority)];
-        it.back += u32::from(tries > 0);
+        let outcome = &mut self.outcomes[usize::from(priority)];
+        outcome.retried += u32::from(tries > 0);
         match grant {
             Grant::Granted { count, after, .. } => {
                 assert!(after <= MAX_DELAY + 1);
-                it.granted += count;
+                outcome.granted += count;
                 self.granted.push(self.now + after);
             }
-            Grant::Refused(places) => {
-                it.again += u32::from(tries > 0);
-                if let RetryAfter::Room { after } = places.retry_after(0, Some(left)) {
-                    self.told.push((priority, self.now + after));
-                    let back = self.now + after + self.rng.random_range(0..JITTER);
-                    if tries < RETRIES && back < end {
-                        self.coming.push(Reverse((back, priority, end, tries + 1)));
+            Grant::Refused(schedule) => {
+                outcome.refused += u32::from(tries > 0);
+                if let RetryAfter::Room { after } = schedule.retry_after(0, Some(left)) {
+                    self.retries.push((priority, self.now + after));
+                    let at = self.now + after + self.rng.random_range(0..JITTER);
+                    if tries < MAX_RETRIES && at < end {
+                        self.pending.push(Reverse((at, priority, end, tries + 1)));
                     }
                 }
             }
@@ -169,225 +178,229 @@
         self.granted.len() as f64
     }
 
-    /// How far what was granted in some window is above what the limit allows; below zero if it is within.
-    fn most(&self) -> f64 {
-        let mut most = f64::MIN;
+    /// Returns the maximum excess over the limit in any window. Negative if all grants are within the limit.
+    fn max_excess(&self) -> f64 {
+        let mut max = f64::MIN;
         let mut all = self.granted.clone();
         all.sort_unstable();
         for (n, from) in all.iter().enumerate() {
             for (count, to) in all[n..].iter().enumerate() {
                 let window = (to - from + MAX_DELAY) as f64 / SECOND as f64;
-                most = most.max((count + 1) as f64 - LIMITS.rate * window - LIMITS.burst);
+                max = max.max((count + 1) as f64 - LIMITS.rate * window - LIMITS.burst);
             }
         }
-        most
+        max
     }
 }
 
-fn played(load: f64, pattern: Pattern, seed: u64, urgent: bool) -> World {
-    let mut it = World::new(seed, urgent);
-    it.call(load, pattern, PLAYED);
-    it.play();
-    it
+fn simulate(load: f64, pattern: Pattern, seed: u64, prioritised: bool) -> Simulation {
+    let mut sim = Simulation::new(seed, prioritised);
+    sim.add_callers(load, pattern, DURATION);
+    sim.run();
+    sim
 }
 
-/// What the callers of a kind could get: what they ask for, or what the others' minimum leaves.
-fn fair(it: &World) -> f64 {
-    let most = LIMITS.rate * (PLAYED / SECOND) as f64 * 0.9;
-    f64::from(it.kinds[0].callers).min(most)
+/// Returns the number of grants available to the most urgent callers: their demand, or the limit without the minimum of
+/// the others.
+fn attainable(sim: &Simulation) -> f64 {
+    let max = LIMITS.rate * (DURATION / SECOND) as f64 * 0.9;
+    f64::from(sim.outcomes[0].callers).min(max)
 }
 
 #[rstest]
-fn the_most_urgent_are_served_at_every_load(
+fn most_urgent_callers_are_served_at_any_load(
     #[values(Pattern::Evenly, Pattern::Waves)] pattern: Pattern,
     #[values(1.0, 2.0, 4.0, 7.5)] load: f64,
 ) {
     for seed in 0..5 {
-        let it = played(load, pattern, seed, true);
-        let part = f64::from(it.kinds[0].granted) / fair(&it);
-        let parts = it.kinds.map(|kind| f64::from(kind.granted) / f64::from(kind.callers));
+        let sim = simulate(load, pattern, seed, true);
+        let part = f64::from(sim.outcomes[0].granted) / attainable(&sim);
+        let parts = sim.outcomes.map(|class| f64::from(class.granted) / f64::from(class.callers));
         println!("{pattern:?}, {load}, seed {seed}: granted {parts:.2?}");
         assert!(part >= 0.95, "seed {seed}: {part}");
     }
 }
 
 #[rstest]
-fn the_least_urgent_keep_a_minimum(
+fn least_urgent_callers_keep_a_minimum(
     #[values(Pattern::Evenly, Pattern::Waves)] pattern: Pattern,
     #[values(1.0, 2.0, 4.0, 7.5)] load: f64,
 ) {
     for seed in 0..5 {
-        let it = played(load, pattern, seed, true);
-        for kind in &it.kinds[1..] {
-            let least = f64::from(kind.callers).min(it.total() * 0.05) * 0.85;
-            assert!(f64::from(kind.granted) >= least, "seed {seed}: {kind:?}, at least {least}");
+        let sim = simulate(load, pattern, seed, true);
+        for class in &sim.outcomes[1..] {
+            let min = f64::from(class.callers).min(sim.total() * 0.05) * 0.85;
+            assert!(f64::from(class.granted) >= min, "seed {seed}: {class:?}, at least {min}");
         }
     }
 }
 
-/// What is left in the bucket at the end counts as well: it is there for the next one.
+/// Tokens left in the bucket at the end count as well, as they are available to the next claim.
 #[rstest]
-fn all_that_comes_in_is_granted_and_no_more(
+fn accrued_tokens_are_granted_and_no_more(
     #[values(Pattern::Evenly, Pattern::Waves)] pattern: Pattern,
     #[values(2.0, 4.0, 7.5)] load: f64,
 ) {
     for seed in 0..5 {
-        let mut it = World::new(seed, true);
-        it.call(load, pattern, PLAYED);
-        it.play_until(SECOND + PLAYED);
-        let left = match it.limiter.claim(&Name::from("acme"), LIMITS, Demand::unprioritised(1_000), it.now) {
+        let mut sim = Simulation::new(seed, true);
+        sim.add_callers(load, pattern, DURATION);
+        sim.run_until(SECOND + DURATION);
+        let left = match sim.limiter.claim(&Name::from("acme"), LIMITS, Demand::unprioritised(1_000), sim.now)
+        {
             Grant::Granted { count, .. } => f64::from(count),
             Grant::Refused(_) => 0.0,
         };
-        let came = LIMITS.rate * (it.now - SECOND + MAX_DELAY) as f64 / SECOND as f64;
-        let all = it.total() + left;
-        assert!((came - 1.01..=came).contains(&all), "seed {seed}: {all} of {came}");
-        assert!(it.most() <= 0.0, "seed {seed}: {} above the limit in a window", it.most());
+        let accrued = LIMITS.rate * (sim.now - SECOND + MAX_DELAY) as f64 / SECOND as f64;
+        let all = sim.total() + left;
+        assert!((accrued - 1.01..=accrued).contains(&all), "seed {seed}: {all} of {accrued}");
+        assert!(sim.max_excess() <= 0.0, "seed {seed}: {} above the limit in a window", sim.max_excess());
     }
 }
 
 #[rstest]
-fn those_who_come_back_at_their_places_find_room(
+fn scheduled_retries_are_granted(
     #[values(Pattern::Evenly, Pattern::Waves)] pattern: Pattern,
     #[values(1.0, 2.0, 4.0, 7.5)] load: f64,
 ) {
-    let (mut back, mut again) = (0, 0);
+    let (mut retried, mut refused) = (0, 0);
     for seed in 0..5 {
-        let mut it = played(load, pattern, seed, true);
-        back += it.kinds.iter().map(|kind| kind.back).sum::<u32>();
-        again += it.kinds.iter().map(|kind| kind.again).sum::<u32>();
-        let told = it.told.len();
-        it.told.sort_unstable();
-        it.told.dedup();
-        assert_eq!(told, it.told.len(), "seed {seed}: two were told the same moment");
+        let mut sim = simulate(load, pattern, seed, true);
+        retried += sim.outcomes.iter().map(|class| class.retried).sum::<u32>();
+        refused += sim.outcomes.iter().map(|class| class.refused).sum::<u32>();
+        let retries = sim.retries.len();
+        sim.retries.sort_unstable();
+        sim.retries.dedup();
+        assert_eq!(retries, sim.retries.len(), "seed {seed}: two callers have the same retry time");
     }
-    let part = f64::from(again) / f64::from(back.max(1));
-    println!("{pattern:?}, {load}: {again} of {back} found no room");
-    assert!(back > 20 && part < 0.1, "{again} of {back}");
+    let part = f64::from(refused) / f64::from(retried.max(1));
+    println!("{pattern:?}, {load}: {refused} of {retried} retries refused");
+    assert!(retried > 20 && part < 0.1, "{refused} of {retried}");
 }
 
-/// Also where the bucket is empty at first, as after a loss of all, and fills as callers come.
+/// Holds as well if the bucket is empty at first, as after a loss of all instances, and fills while callers arrive.
 #[rstest]
 #[case(Pattern::Evenly, 0.4, 0)]
 #[case(Pattern::Evenly, 0.6, SECOND)]
 #[case(Pattern::Waves, 0.6, SECOND)]
-fn where_there_is_room_for_all_nothing_changes(
+fn priorities_have_no_effect_below_the_limit(
     #[case] pattern: Pattern,
     #[case] load: f64,
     #[case] pause: u64,
 ) {
-    let grants = |seed: u64, urgent: bool| {
-        let mut it = World::new(seed, urgent);
-        it.now += pause;
-        it.lend();
-        it.call(load, pattern, PLAYED);
-        it.play();
-        it.granted
+    let grants = |seed: u64, prioritised: bool| {
+        let mut sim = Simulation::new(seed, prioritised);
+        sim.now += pause;
+        sim.lend();
+        sim.add_callers(load, pattern, DURATION);
+        sim.run();
+        sim.granted
     };
     for seed in 0..5 {
         assert!(grants(seed, false) == grants(seed, true), "seed {seed}");
     }
 }
 
-/// Of the least urgent, while more urgent ones come now and then: all find room if they come on a full bucket.
+/// A burst of the least urgent callers on a full bucket is granted completely, although more urgent ones arrive from
+/// time to time.
 #[test]
-fn a_burst_after_a_pause_takes_all_that_is_there() {
-    let played = |urgent: bool| {
-        let mut it = World::new(1, urgent);
+fn burst_after_a_pause_takes_all_tokens() {
+    let simulate = |prioritised: bool| {
+        let mut sim = Simulation::new(1, prioritised);
         for n in 0..120_u64 {
-            it.now += SECOND / 10;
-            if it.lent + PERIOD <= it.now {
-                it.lend();
+            sim.now += SECOND / 10;
+            if sim.renewed_at + RENEWAL_INTERVAL <= sim.now {
+                sim.lend();
             }
-            it.claim(0, it.now, 0);
+            sim.claim(0, sim.now, 0);
             if n % 20 == 19 {
-                (0..40).for_each(|_| it.claim(2, it.now, 0));
+                (0..40).for_each(|_| sim.claim(2, sim.now, 0));
             }
         }
-        it.granted.retain(|at| *at > 5 * SECOND);
-        it.granted
+        sim.granted.retain(|at| *at > 5 * SECOND);
+        sim.granted
     };
-    let (plain, urgent) = (played(false), played(true));
-    assert!(plain.len() > 150 && plain == urgent, "{} and {}", plain.len(), urgent.len());
+    let (plain, prioritised) = (simulate(false), simulate(true));
+    assert!(plain.len() > 150 && plain == prioritised, "{} and {}", plain.len(), prioritised.len());
 }
 
-/// The rule for operations that aren't told apart, written anew.
+/// Compares unprioritised claims with a second implementation of the token bucket.
 #[test]
-fn operations_that_arent_told_apart_get_tokens_as_they_come() {
-    let mut it = World::new(7, false);
+fn unprioritised_claims_are_granted_in_order_of_arrival() {
+    let mut sim = Simulation::new(7, false);
     let ahead = LIMITS.rate * MAX_DELAY as f64 / SECOND as f64;
-    let (mut level, mut last) = (0.0_f64, it.now);
+    let (mut level, mut last) = (0.0_f64, sim.now);
     for _ in 0..5_000 {
-        it.now += it.rng.random_range(0..20_000);
-        if it.lent + PERIOD <= it.now {
-            it.lend();
+        sim.now += sim.rng.random_range(0..20_000);
+        if sim.renewed_at + RENEWAL_INTERVAL <= sim.now {
+            sim.lend();
         }
-        level = (level + LIMITS.rate * (it.now - last) as f64 / SECOND as f64).min(LIMITS.burst);
-        last = it.now;
-        let count = it.rng.random_range(1..4);
-        let right = (level + ahead).floor().clamp(0.0, f64::from(count));
-        level -= right;
-        let lacks = if right == 0.0 { 1.0 - ahead - level } else { (-level).max(0.0) };
-        let pause = (lacks / LIMITS.rate * SECOND as f64) as u64;
-        match it.limiter.claim(&Name::from("acme"), LIMITS, Demand::unprioritised(count), it.now) {
+        level = (level + LIMITS.rate * (sim.now - last) as f64 / SECOND as f64).min(LIMITS.burst);
+        last = sim.now;
+        let count = sim.rng.random_range(1..4);
+        let expected = (level + ahead).floor().clamp(0.0, f64::from(count));
+        level -= expected;
+        let missing = if expected == 0.0 { 1.0 - ahead - level } else { (-level).max(0.0) };
+        let delay = (missing / LIMITS.rate * SECOND as f64) as u64;
+        match sim.limiter.claim(&Name::from("acme"), LIMITS, Demand::unprioritised(count), sim.now) {
             Grant::Granted { count, after, .. } => {
-                assert_eq!(f64::from(count), right);
-                assert!(after.abs_diff(pause) <= 5, "{after}, {pause}");
+                assert_eq!(f64::from(count), expected);
+                assert!(after.abs_diff(delay) <= 5, "{after}, {delay}");
             }
-            Grant::Refused(places) => {
-                assert_eq!((right, places.step, places.reserved), (0.0, 0, false));
-                assert!(places.after.abs_diff(pause) <= 5, "{places:?}, {pause}");
+            Grant::Refused(schedule) => {
+                assert_eq!((expected, schedule.step, schedule.reserved), (0.0, 0, false));
+                assert!(schedule.after.abs_diff(delay) <= 5, "{schedule:?}, {delay}");
             }
         }
     }
 }
 
 #[test]
-fn a_limiter_that_starts_again_keeps_the_bound_and_the_minimum() {
+fn bound_and_minimum_hold_after_a_limiter_restart() {
     for seed in 0..5 {
-        let mut it = World::new(seed, true);
-        it.call(4.0, Pattern::Evenly, PLAYED / 2);
-        it.play();
-        let before = it.kinds;
-        // Nothing of the lost one is known; its shares are lent anew once their term is over.
-        it.limiter = Limiter::new(2);
-        it.now += MIN_LOAN_DURATION;
-        it.lend();
-        it.call(4.0, Pattern::Evenly, PLAYED / 2);
-        it.play();
-        assert!(it.most() <= 0.0, "seed {seed}: {} above the limit in a window", it.most());
-        for (priority, least) in [(0, 0.95), (2, 0.03)] {
-            let (now, old) = (it.kinds[priority], before[priority]);
+        let mut sim = Simulation::new(seed, true);
+        sim.add_callers(4.0, Pattern::Evenly, DURATION / 2);
+        sim.run();
+        let before = sim.outcomes;
+        // The new process has no state of the previous one. Shares are lent to it after the old loans have expired.
+        sim.limiter = Limiter::new(2);
+        sim.now += MIN_LOAN_DURATION;
+        sim.lend();
+        sim.add_callers(4.0, Pattern::Evenly, DURATION / 2);
+        sim.run();
+        assert!(sim.max_excess() <= 0.0, "seed {seed}: {} above the limit in a window", sim.max_excess());
+        for (priority, min) in [(0, 0.95), (2, 0.03)] {
+            let (now, old) = (sim.outcomes[priority], before[priority]);
             let part = f64::from(now.granted - old.granted) / f64::from(now.callers - old.callers);
-            assert!(part >= least, "seed {seed}: {part} of priority {priority}");
+            assert!(part >= min, "seed {seed}: {part} of priority {priority}");
         }
     }
 }
 
-/// An organisation with fewer operations a second than kinds: nobody waits for good.
+/// An organisation with fewer operations per second than priorities must not starve any of them.
 #[rstest]
 #[case(Limits { rate: 1.0, burst: 1.0, margin: 0.0 })]
 #[case(Limits { rate: 0.5, burst: 0.0, margin: 2.0 })]
 #[case(Limits { rate: 5.0, burst: 3.0, margin: 0.0 })]
-fn small_limits_are_used_as_well(#[case] limits: Limits) {
-    let mut it = World::new(3, true);
+fn small_limits_are_shared_by_all_priorities(#[case] limits: Limits) {
+    let mut sim = Simulation::new(3, true);
     let mut granted = [0; 3];
     for n in 0..6_000_u64 {
-        it.now += 20_000;
-        if it.lent + PERIOD <= it.now {
-            it.lend();
+        sim.now += 20_000;
+        if sim.renewed_at + RENEWAL_INTERVAL <= sim.now {
+            sim.lend();
         }
         let priority = (n % 3) as u8;
-        let demand = Demand::prioritised(1, priority, PATIENCE);
-        if let Grant::Granted { count, .. } = it.limiter.claim(&Name::from("acme"), limits, demand, it.now) {
+        let demand = Demand::prioritised(1, priority, CALLER_TIMEOUT);
+        if let Grant::Granted { count, .. } = sim.limiter.claim(&Name::from("acme"), limits, demand, sim.now)
+        {
             granted[usize::from(priority)] += count;
         }
     }
-    let came = limits.rate * 120.0;
+    let accrued = limits.rate * 120.0;
     let all: u32 = granted.iter().sum();
     assert!(
-        f64::from(all) >= came * 0.9 - 3.0 && f64::from(all) <= came + limits.margin + 1.0,
+        f64::from(all) >= accrued * 0.9 - 3.0 && f64::from(all) <= accrued + limits.margin + 1.0,
         "{granted:?}"
     );
-    assert!(granted.iter().all(|it| f64::from(*it) >= came * 0.04 - 1.0), "{granted:?} of {came}");
+    assert!(granted.iter().all(|n| f64::from(*n) >= accrued * 0.04 - 1.0), "{granted:?} of {accrued}");
 }
