--- a/crates/core/tests/delta.rs
+++ b/crates/core/tests/delta.rs
@@ -1,4 +1,6 @@
 //! Deltas of collections: a delta applied to its base version yields its target version.
+//!
+//! A wrong delta would leave the receiver with stale, missing or removed items.
 
 use {
     pondtrack_core::delta::{ChangeLog, Delta, changed_keys},
--- a/crates/core/tests/lending.rs
+++ b/crates/core/tests/lending.rs
@@ -1,5 +1,8 @@
-//! Loans of shares in large fleets. A limiter receives no more messages than it can reply to, and all shares are placed
-//! soon after a simultaneous start of all instances.
+//! Loans of shares in large fleets.
+//!
+//! If all instances send to a limiter at the same time, the limiter receives more messages than it can reply to,
+//! replies time out, and shares are lent to no limiter. Messages must stay within the limiter's rate, and all shares
+//! must be placed soon after a simultaneous start of all instances.
 
 use {
     pondtrack_core::{
@@ -202,8 +205,8 @@
     fn place(&mut self, at: usize) {
         let (now, n) = (self.clock(at), self.instances.len());
         let names = |order: &Vec<usize>, lost: &[Name]| {
-            let fit = order.iter().map(|n| &self.instances[*n].name).find(|name| !lost.contains(name));
-            fit.unwrap_or(&self.instances[at].name).clone()
+            let candidate = order.iter().map(|n| &self.instances[*n].name).find(|name| !lost.contains(name));
+            candidate.unwrap_or(&self.instances[at].name).clone()
         };
         let lost: Vec<Name> = self.instances[at].scheduler.lost().cloned().collect();
         let limiters: [Name; SLOTS] = std::array::from_fn(|slot| names(&self.preferences[slot], &lost));
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -1,5 +1,7 @@
-//! Usage limits under loss and delay of messages and restarts of processes: the grants of all instances together stay
-//! within the limit.
+//! Usage limits under loss and delay of messages and restarts of processes.
+//!
+//! A share that fills the buckets of two limiters at once grants an organisation more than its limit. That happens if a
+//! share is lent again before its previous limiter stops using the loan.
 
 use {
     pondtrack_core::quota::{
--- a/crates/core/tests/quota_walk.rs
+++ b/crates/core/tests/quota_walk.rs
@@ -1,7 +1,8 @@
-//! Exhaustive exploration of event orders.
+//! Exhaustive exploration of event orders, for the same failure as in `quota.rs`.
 //!
-//! An instance lends its share to itself or to another instance: the share is never used by both. Claims of any urgency
-//! reach one limiter: a bucket grants no more than its tokens.
+//! An instance lends its share to itself or to another instance, with lost and reordered messages, timeouts and
+//! restarts: the share must never be used by both. Claims of any urgency reach one limiter: reservations must not let a
+//! bucket grant more than its tokens.
 
 use {
     pondtrack_core::quota::{
--- a/crates/core/tests/retry_after.rs
+++ b/crates/core/tests/retry_after.rs
@@ -1,4 +1,7 @@
 //! Retry times of refused callers.
+//!
+//! Callers with the same retry time come back together, and all but the first are refused again. An instance that
+//! doesn't cache refusals forwards every early retry to the limiter.
 
 use {
     pondtrack_core::{
@@ -146,13 +149,13 @@
     let mut cache = RefusalCache::default();
     let retry = cache.insert(&acme, None, RetrySchedule::at(1_000), SECOND);
     assert_eq!(retry, RetryAfter::Room { after: 1_000 });
-    let known =
+    let lookup =
         |cache: &mut RefusalCache, later| cache.lookup(&acme, None, SECOND + later).map(RetryAfter::delay);
-    assert_eq!(known(&mut cache, 0), Some(5_000));
-    assert_eq!(known(&mut cache, 4_000), Some(1_000));
-    assert_eq!(known(&mut cache, 5_000), None);
+    assert_eq!(lookup(&mut cache, 0), Some(5_000));
+    assert_eq!(lookup(&mut cache, 4_000), Some(1_000));
+    assert_eq!(lookup(&mut cache, 5_000), None);
     cache.insert(&acme, None, RetrySchedule::at(SECOND), SECOND);
-    assert_eq!(known(&mut cache, 0), Some(200_000));
+    assert_eq!(lookup(&mut cache, 0), Some(200_000));
 }
 
 #[test]
--- a/crates/core/tests/status_reports.rs
+++ b/crates/core/tests/status_reports.rs
@@ -1,4 +1,7 @@
 //! Status reports of servers relayed between instances, with delays, reordering and duplicates.
+//!
+//! The age of a relayed report must include all delays since its request. An instance that considers a report newer
+//! than it is would serve reads that miss acknowledged writes.
 
 use {
     pondtrack_core::{
--- a/crates/core/tests/urgency.rs
+++ b/crates/core/tests/urgency.rs
@@ -1,5 +1,7 @@
-//! Distribution of an organisation's tokens by priority when it exceeds its quota, and success of refused callers that
-//! retry at their scheduled times.
+//! Distribution of an organisation's tokens by priority when it exceeds its quota.
+//!
+//! Without a reservation for more urgent callers, less urgent ones use up the tokens. Without a minimum for less urgent
+//! callers, they are never served. Without distinct retry times, refused callers retry together and are refused again.
 
 use {
     pondtrack_core::{
