--- a/crates/core/benches/ratios.rs
+++ b/crates/core/benches/ratios.rs
@@ -5,7 +5,7 @@
         classify::{Classifier, classify},
         gate::Gate,
         member::{MemberConfig, Members},
-        place,
+        placement,
         quota::{Demand, Limiter, Limits, SLOTS, Slots},
     },
     pondtrack_proto::{GroupSpec, Lsn, Mark, MemberState, MemberView, Name, ServerSpec, Term},
@@ -25,7 +25,7 @@
         ("a known text against a new one", time(|| known.classify(text)) / time(|| classify(text)), 0.2),
         (
             "placing a group among 760 instances against 76",
-            time(|| place::homes(&spec(), &large)) / time(|| place::homes(&spec(), &small)),
+            time(|| placement::homes(&spec(), &large)) / time(|| placement::homes(&spec(), &small)),
             16.0,
         ),
         ("a tick of membership among 760 against 76", ticks(many) / ticks(few), 20.0),
--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admission.rs
@@ -8,28 +8,28 @@
 
 /// Bounds of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AdmitConfig {
+pub struct AdmissionConfig {
     /// Most requests waiting.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Slots that requests which begin a transaction leave free.
-    pub reserve: usize,
+    pub reserved_slots: usize,
 }
 
-impl Default for AdmitConfig {
-    fn default() -> AdmitConfig {
-        AdmitConfig { queue: 512, reserve: 1 }
+impl Default for AdmissionConfig {
+    fn default() -> AdmissionConfig {
+        AdmissionConfig { max_queued: 512, reserved_slots: 1 }
     }
 }
 
 /// The answer to an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admit {
+pub enum Admission {
     /// It has a slot.
-    Run,
+    Admitted,
     /// It waits under this ticket.
-    Wait(u64),
+    Queued(u64),
     /// It can't be served in time.
-    Refuse {
+    Rejected {
         /// When to come back, in milliseconds.
         retry_ms: u32,
     },
@@ -37,7 +37,7 @@
 
 /// The end of a request's wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn {
+pub struct Dequeued {
     /// Its ticket.
     pub ticket: u64,
     /// Whether it has a slot; otherwise it could not be done in time any longer, and is refused now.
@@ -59,9 +59,9 @@
 
 /// The admission to one server.
 #[derive(Clone, Debug)]
-pub struct Admission {
-    config: AdmitConfig,
-    limiter: Limiter,
+pub struct AdmissionQueue {
+    config: AdmissionConfig,
+    limiter: ConcurrencyLimiter,
     running: usize,
     pinned: usize,
     lines: VecDeque<Line>,
@@ -70,12 +70,12 @@
     service: f64,
 }
 
-impl Admission {
+impl AdmissionQueue {
     /// An admission with this many slots.
-    pub fn new(config: AdmitConfig, slots: usize) -> Admission {
-        let limiter = Limiter::new(slots);
+    pub fn new(config: AdmissionConfig, slots: usize) -> AdmissionQueue {
+        let limiter = ConcurrencyLimiter::new(slots);
         let lines = VecDeque::new();
-        Admission { config, limiter, running: 0, pinned: 0, lines, queued: 0, next: 0, service: 1.0 }
+        AdmissionQueue { config, limiter, running: 0, pinned: 0, lines, queued: 0, next: 0, service: 1.0 }
     }
 
     /// Changes the number of slots; requests that run keep theirs.
@@ -99,14 +99,14 @@
     }
 
     /// Offers a request of a caller; `begins` says that it begins a transaction.
-    pub fn offer(&mut self, now: Time, caller: &Name, deadline: Time, begins: bool) -> Admit {
+    pub fn submit(&mut self, now: Time, caller: &Name, deadline: Time, begins: bool) -> Admission {
         if self.queued == 0 && self.has_slot(begins) {
             self.start(begins);
-            return Admit::Run;
+            return Admission::Admitted;
         }
         let wait = self.expected_wait();
-        if self.queued >= self.config.queue || now + wait + self.expected_service() > deadline {
-            return Admit::Refuse { retry_ms: wait.clamp(10, 30_000) as u32 };
+        if self.queued >= self.config.max_queued || now + wait + self.expected_service() > deadline {
+            return Admission::Rejected { retry_ms: wait.clamp(10, 30_000) as u32 };
         }
         let ticket = self.next;
         self.next += 1;
@@ -116,13 +116,13 @@
             None => self.lines.push_back(Line { caller: caller.clone(), waiting: VecDeque::from([it]) }),
         }
         self.queued += 1;
-        Admit::Wait(ticket)
+        Admission::Queued(ticket)
     }
 
     /// A request has ended; hands back the waits that end with it.
     ///
     /// `took` is its time in milliseconds; none for a transaction, whose time is its caller's own.
-    pub fn done(&mut self, now: Time, took: Option<u64>, began: bool) -> Vec<Turn> {
+    pub fn complete(&mut self, now: Time, took: Option<u64>, began: bool) -> Vec<Dequeued> {
         self.running = self.running.saturating_sub(1);
         if began {
             self.pinned = self.pinned.saturating_sub(1);
@@ -131,21 +131,21 @@
             self.service += (took as f64 - self.service) * 0.05;
             self.limiter.sample(took as f64, self.queued > 0);
         }
-        self.fill(now)
+        self.dispatch(now)
     }
 
     /// Hands back the waits that end now, as after a change of the limit.
-    pub fn fill(&mut self, now: Time) -> Vec<Turn> {
+    pub fn dispatch(&mut self, now: Time) -> Vec<Dequeued> {
         let mut out = Vec::new();
         while let Some(it) = self.pop(now, &mut out) {
             self.start(it.begins);
-            out.push(Turn { ticket: it.ticket, admitted: true });
+            out.push(Dequeued { ticket: it.ticket, admitted: true });
         }
         out
     }
 
     /// Forgets a request that waits no longer.
-    pub fn leave(&mut self, ticket: u64) {
+    pub fn cancel(&mut self, ticket: u64) {
         let before = self.queued;
         for line in &mut self.lines {
             line.waiting.retain(|it| it.ticket != ticket);
@@ -170,7 +170,7 @@
         let limit = self.limiter.limit();
         let free = self.running < limit;
         // Idle transactions may hold all slots but the reserve, so single statements still get through.
-        let open = limit <= self.config.reserve || self.pinned < limit - self.config.reserve;
+        let open = limit <= self.config.reserved_slots || self.pinned < limit - self.config.reserved_slots;
         free && (!begins || open)
     }
 
@@ -181,13 +181,13 @@
 
     /// The next request by turns among the callers; those that could not be done in time are refused now,
     /// rather than begun and cut.
-    fn pop(&mut self, now: Time, out: &mut Vec<Turn>) -> Option<Waiting> {
+    fn pop(&mut self, now: Time, out: &mut Vec<Dequeued>) -> Option<Waiting> {
         let end = now + self.expected_service();
         for _ in 0..self.lines.len() {
             let mut line = self.lines.pop_front()?;
             while let Some(it) = line.waiting.pop_front_if(|it| it.deadline < end) {
                 self.queued -= 1;
-                out.push(Turn { ticket: it.ticket, admitted: false });
+                out.push(Dequeued { ticket: it.ticket, admitted: false });
             }
             let fits = line.waiting.front().is_some_and(|it| self.has_slot(it.begins));
             let it = if fits { line.waiting.pop_front() } else { None };
@@ -206,7 +206,7 @@
 /// A limit on concurrency learned from latency: it shrinks while requests take much longer than the
 /// quickest did, and grows by one a round while there is demand.
 #[derive(Clone, Debug)]
-pub struct Limiter {
+pub struct ConcurrencyLimiter {
     max: usize,
     limit: f64,
     floor: f64,
@@ -220,10 +220,10 @@
 /// The smallest learned limit.
 const LEAST: f64 = 2.0;
 
-impl Limiter {
+impl ConcurrencyLimiter {
     /// Begins at the highest limit.
-    pub fn new(max: usize) -> Limiter {
-        Limiter { max, limit: max as f64, floor: f64::MAX, recent: 0.0 }
+    pub fn new(max: usize) -> ConcurrencyLimiter {
+        ConcurrencyLimiter { max, limit: max as f64, floor: f64::MAX, recent: 0.0 }
     }
 
     /// The limit now.
--- a/crates/core/src/balance.rs
+++ b/crates/core/src/balance.rs
@@ -102,21 +102,21 @@
 
 /// How long a server takes for a statement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pace {
+pub struct LatencyEstimate {
     average: f64,
     at: Time,
 }
 
-impl Pace {
+impl LatencyEstimate {
     /// A statement took this long.
     pub fn observe(&mut self, took: Time, now: Time) {
-        let old = self.expected(now);
+        let old = self.get(now);
         self.average = if old == 0.0 { took as f64 } else { old + WEIGHT * (took as f64 - old) };
         self.at = now;
     }
 
     /// How long the next is expected to take.
-    pub fn expected(&self, now: Time) -> f64 {
+    pub fn get(&self, now: Time) -> f64 {
         let idle = now.saturating_sub(self.at) as f64;
         self.average * (-idle / HALF_LIFE * std::f64::consts::LN_2).exp()
     }
@@ -124,23 +124,23 @@
 
 /// What is known of a server when a statement is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Offer {
+pub struct ServerLoad {
     /// How long statements take there.
-    pub expected: f64,
+    pub expected_latency: f64,
     /// This instance's statements that run or wait there.
-    pub load: usize,
+    pub in_flight: usize,
     /// Whether it is in another availability zone.
-    pub far: bool,
+    pub is_remote: bool,
     /// Whether it is the primary.
-    pub primary: bool,
+    pub is_primary: bool,
 }
 
-impl Offer {
+impl ServerLoad {
     /// The cost; the lowest is chosen.
     pub fn cost(&self) -> u64 {
-        let far = if self.far { FAR } else { 0 };
-        let primary = if self.primary { PRIMARY } else { 0 };
-        self.expected as u64 + QUEUED * self.load as u64 + far + primary
+        let far = if self.is_remote { FAR } else { 0 };
+        let primary = if self.is_primary { PRIMARY } else { 0 };
+        self.expected_latency as u64 + QUEUED * self.in_flight as u64 + far + primary
     }
 }
 
@@ -149,12 +149,12 @@
 /// Without news the estimate shrinks, so that a replica that was passed over is tried again: nothing else
 /// would show that it has caught up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Lag {
+pub struct LagEstimate {
     value: f64,
     at: Time,
 }
 
-impl Lag {
+impl LagEstimate {
     /// The estimate at a time, in microseconds.
     pub fn get(self, now: Time) -> Time {
         let quiet = now.saturating_sub(self.at) as f64;
@@ -162,17 +162,17 @@
     }
 
     fn set(&mut self, lag: Time, now: Time) {
-        *self = Lag { value: lag.min(LAG_MOST) as f64, at: now };
+        *self = LagEstimate { value: lag.min(LAG_MOST) as f64, at: now };
     }
 
     /// The server states its lag.
-    pub fn stated(&mut self, lag: Time, now: Time) {
+    pub fn observe_reported(&mut self, lag: Time, now: Time) {
         let old = self.get(now);
         self.set(if lag > old { lag } else { (old * 3 + lag) / 4 }, now);
     }
 
     /// The server had a position of this age; an older one than the estimate says nothing.
-    pub fn reached(&mut self, age: Time, now: Time) {
+    pub fn observe_reached(&mut self, age: Time, now: Time) {
         let old = self.get(now);
         if age < old {
             self.set((old * 9 + age) / 10, now);
@@ -180,7 +180,7 @@
     }
 
     /// The server lacked a position of this age.
-    pub fn lacked(&mut self, age: Time, now: Time) {
+    pub fn observe_missing(&mut self, age: Time, now: Time) {
         self.set(self.get(now).max(age + age / 5), now);
     }
 }
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -39,80 +39,81 @@
     /// A primary that answers.
     Primary,
     /// A turn at a server.
-    Turn,
+    #[strum(serialize = "turn")]
+    Permit,
     /// A connection to a server.
     Connection,
 }
 
 /// The limits from which a budget is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowance {
+pub struct TimeLimits {
     /// When the statement arrived.
-    pub arrived: Time,
+    pub arrived_at: Time,
     /// The response time that its caller hopes for.
     pub objective: Time,
     /// The longest time that its route allows.
-    pub limit: Time,
+    pub timeout: Time,
 }
 
 /// What waits are measured by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
+pub enum Mode {
     /// Each wait by itself, by the route's limit.
-    Limit,
+    PerWait,
     /// All together, by the objective.
     Objective,
     /// The same after a change of primary that has used up the objective.
-    Change,
+    Failover,
 }
 
 /// How long one statement may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    allowance: Allowance,
-    rule: Rule,
+    allowance: TimeLimits,
+    rule: Mode,
 }
 
 impl Budget {
     /// Of a statement that has just arrived.
-    pub fn new(allowance: Allowance, rule: Rule) -> Budget {
+    pub fn new(allowance: TimeLimits, rule: Mode) -> Budget {
         Budget { allowance, rule }
     }
 
     /// Until when it waits for something.
-    pub fn until(&self, wait: Wait) -> Time {
-        let Allowance { arrived, objective, limit } = self.allowance;
+    pub fn deadline(&self, wait: Wait) -> Time {
+        let TimeLimits { arrived_at, objective, timeout } = self.allowance;
         let (whole, percent) = match (self.rule, wait) {
-            (Rule::Limit, Wait::Turn | Wait::Connection) => (limit, HOLD),
-            (Rule::Limit, Wait::Quota | Wait::Evidence | Wait::Primary) => (limit, WHOLE),
-            (Rule::Objective, Wait::Quota) => (objective, QUOTA),
-            (Rule::Objective, Wait::Evidence) => (objective, EVIDENCE),
-            (Rule::Objective, Wait::Turn | Wait::Connection) => (objective, TURN),
-            (Rule::Objective, Wait::Primary) | (Rule::Change, _) => (objective, PRIMARY),
+            (Mode::PerWait, Wait::Permit | Wait::Connection) => (timeout, HOLD),
+            (Mode::PerWait, Wait::Quota | Wait::Evidence | Wait::Primary) => (timeout, WHOLE),
+            (Mode::Objective, Wait::Quota) => (objective, QUOTA),
+            (Mode::Objective, Wait::Evidence) => (objective, EVIDENCE),
+            (Mode::Objective, Wait::Permit | Wait::Connection) => (objective, TURN),
+            (Mode::Objective, Wait::Primary) | (Mode::Failover, _) => (objective, PRIMARY),
         };
-        arrived + (whole * percent / 100).min(limit)
+        arrived_at + (whole * percent / 100).min(timeout)
     }
 
     /// Whether a wait that is expected to take so long from now fits.
     pub fn allows(&self, wait: Wait, expected: Time, now: Time) -> bool {
-        now + expected <= self.until(wait)
+        now + expected <= self.deadline(wait)
     }
 
     /// Whether a statement that no server has is not tried again.
-    pub fn is_spent(&self, now: Time) -> bool {
+    pub fn is_exhausted(&self, now: Time) -> bool {
         let last = match self.rule {
-            Rule::Limit => Wait::Primary,
-            Rule::Objective | Rule::Change => Wait::Turn,
+            Mode::PerWait => Wait::Primary,
+            Mode::Objective | Mode::Failover => Wait::Permit,
         };
-        now >= self.until(last)
+        now >= self.deadline(last)
     }
 
     /// A primary was found. Where that took all the time for a turn, a refusal would come just as the statement could be
     /// served, if late.
-    pub fn found_primary(self, now: Time) -> Budget {
+    pub fn after_primary_found(self, now: Time) -> Budget {
         match self.rule {
-            Rule::Objective if now >= self.until(Wait::Turn) => Budget { rule: Rule::Change, ..self },
-            Rule::Objective | Rule::Change | Rule::Limit => self,
+            Mode::Objective if now >= self.deadline(Wait::Permit) => Budget { rule: Mode::Failover, ..self },
+            Mode::Objective | Mode::Failover | Mode::PerWait => self,
         }
     }
 }
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -4,7 +4,7 @@
 
 /// An instance is chosen at most so many times as often as the smallest one: the loss of a strong one moves what it was
 /// chosen for to others all at once, and callers wait meanwhile.
-pub const MOST_WEIGHT: f64 = 8.0;
+pub const MAX_WEIGHT: f64 = 8.0;
 
 /// The resources of an instance, as its settings state them; 0 is none that is stated. They rise in the order of the
 /// fields: the scarcest one beside what the work needs decides how much an instance takes on.
@@ -22,16 +22,16 @@
 
 /// The least that any instance states of what decides about placement; 0 where none states it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Smallest {
+pub struct MinCapacity {
     processor: u32,
     link: u32,
 }
 
-impl Smallest {
+impl MinCapacity {
     /// The least of these.
-    pub fn of(all: impl Iterator<Item = Capacity> + Clone) -> Smallest {
+    pub fn of(all: impl Iterator<Item = Capacity> + Clone) -> MinCapacity {
         let least = |of: fn(Capacity) -> u32| all.clone().map(of).filter(|it| *it > 0).min().unwrap_or(0);
-        Smallest { processor: least(|it| it.processor), link: least(|it| it.link) }
+        MinCapacity { processor: least(|it| it.processor), link: least(|it| it.link) }
     }
 
     /// How often an instance is chosen, where the smallest one is chosen once: by its processor or its link, whichever
@@ -41,6 +41,6 @@
         let Some(it) = it else { return 1.0 };
         let stated = [(it.processor, self.processor), (it.link, self.link)].into_iter().filter(|it| it.1 > 0);
         let times = stated.map(|(it, least)| f64::from(it.max(least)) / f64::from(least));
-        times.reduce(f64::min).unwrap_or(1.0).min(MOST_WEIGHT)
+        times.reduce(f64::min).unwrap_or(1.0).min(MAX_WEIGHT)
     }
 }
--- a/crates/core/src/classify.rs
+++ b/crates/core/src/classify.rs
@@ -19,7 +19,7 @@
 /// Texts longer than this are not kept, in bytes.
 const CACHED_LEN: usize = 4_096;
 /// The prefix of pondtrack's own settings.
-pub const OWN: &str = "pondtrack.";
+pub const SETTING_PREFIX: &str = "pondtrack.";
 
 /// Functions known to only read, sorted.
 const HARMLESS: &[&str] = &[
@@ -97,9 +97,9 @@
     /// All settings back to their defaults.
     ResetAll,
     /// A question about one of pondtrack's own settings.
-    ShowOwn(Name),
+    ShowSetting(Name),
     /// Not possible on shared connections.
-    Refuse(&'static str),
+    Unsupported(&'static str),
     /// Nothing at all.
     Empty,
 }
@@ -148,10 +148,12 @@
         "set" => set(text),
         "reset" => reset(text),
         "show" => show(text),
-        "listen" | "unlisten" | "notify" => Stmt::Refuse("LISTEN and NOTIFY need a connection of their own"),
-        "copy" => Stmt::Refuse("COPY is not supported"),
+        "listen" | "unlisten" | "notify" => {
+            Stmt::Unsupported("LISTEN and NOTIFY need a connection of their own")
+        }
+        "copy" => Stmt::Unsupported("COPY is not supported"),
         "prepare" | "execute" | "deallocate" | "declare" | "fetch" | "close" => {
-            Stmt::Refuse("prepared statements and cursors in SQL text need a connection of their own")
+            Stmt::Unsupported("prepared statements and cursors in SQL text need a connection of their own")
         }
         "select" | "with" | "values" | "table" => parsed(text),
         _ => Stmt::Run(Class::Write),
@@ -183,11 +185,13 @@
 fn parsed(text: &str) -> Stmt {
     let reads = match Parser::parse_sql(&PostgreSqlDialect {}, text) {
         Ok(list) if list.iter().any(ends_transaction) => {
-            return Stmt::Refuse("BEGIN, COMMIT, ROLLBACK and SET have to be sent on their own");
+            return Stmt::Unsupported("BEGIN, COMMIT, ROLLBACK and SET have to be sent on their own");
         }
         Ok(list) => !list.is_empty() && list.iter().all(is_read),
         Err(_) if mentions_transaction(text) => {
-            return Stmt::Refuse("several statements that can't be read, with a word that ends transactions");
+            return Stmt::Unsupported(
+                "several statements that can't be read, with a word that ends transactions",
+            );
         }
         Err(_) => false,
     };
@@ -276,7 +280,7 @@
             rest = rest[7..].trim_start();
         }
         "transaction" => return Stmt::Run(Class::Write),
-        "session" => return Stmt::Refuse("SET SESSION CHARACTERISTICS is not supported"),
+        "session" => return Stmt::Unsupported("SET SESSION CHARACTERISTICS is not supported"),
         _ => {}
     }
     let end = rest.find(|c: char| c.is_whitespace() || c == '=').unwrap_or(rest.len());
@@ -286,7 +290,7 @@
         (Some(it), _) => it,
         (None, true) => &tail[2..],
         // Forms without a sign, such as SET TIME ZONE, are left to the upstream and refused there.
-        (None, false) => return Stmt::Refuse("write SET name = value"),
+        (None, false) => return Stmt::Unsupported("write SET name = value"),
     };
     let name = Name::from(name.trim_matches('"').to_ascii_lowercase());
     Stmt::Set { name, value: unquote(value), local }
@@ -302,8 +306,8 @@
 
 fn show(text: &str) -> Stmt {
     let name = text[4..].trim().trim_matches('"').to_ascii_lowercase();
-    match name.strip_prefix(OWN) {
-        Some(it) => Stmt::ShowOwn(it.into()),
+    match name.strip_prefix(SETTING_PREFIX) {
+        Some(it) => Stmt::ShowSetting(it.into()),
         None => Stmt::Run(Class::Read),
     }
 }
--- a/crates/core/src/cadence.rs
+++ b/crates/core/src/intervals.rs
@@ -21,21 +21,21 @@
 const REVOKE_PERCENT: u32 = 30;
 
 /// The time between two heartbeats of an instance, where there are so many.
-pub fn heartbeat(instances: usize) -> Duration {
+pub fn heartbeat_interval(instances: usize) -> Duration {
     let shared = Duration::from_secs((instances / HEARTBEATS) as u64);
     shared.max(HEARTBEAT_LEAST)
 }
 
 /// How many looks, a `pause` apart, may show the same entry of an instance until it doesn't count any longer. Looks are
 /// counted, not time: while the store can't be read, nobody can write either.
-pub fn lapse(instances: usize, pause: Duration) -> u64 {
-    let lapse = heartbeat(instances) * LAPSE_TENTHS / 10;
+pub fn expiry_polls(instances: usize, pause: Duration) -> u64 {
+    let lapse = heartbeat_interval(instances) * LAPSE_TENTHS / 10;
     (lapse.as_millis() / pause.as_millis().max(1)) as u64
 }
 
 /// The longest wait of one watch: `apply` is the time in which a change has to be in force, `revoke` the one in which a key
 /// has to lose its force, where that is wanted without word of the store.
-pub fn watch(apply: Duration, revoke: Option<Duration>) -> Duration {
+pub fn watch_timeout(apply: Duration, revoke: Option<Duration>) -> Duration {
     let most = apply * WATCH_PERCENT / 100;
     match revoke {
         Some(it) => most.min(it * REVOKE_PERCENT / 100),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -27,13 +27,13 @@
 //! | [`classify`] | what a statement needs |
 //! | [`route`] | which server answers a read |
 //! | [`balance`] | what a server costs at present |
-//! | [`place`] | home instances and their shares of connections |
-//! | [`cadence`] | how often instances call the store |
+//! | [`placement`] | home instances and their shares of connections |
+//! | [`intervals`] | how often instances call the store |
 //! | [`capacity`] | what an instance can carry |
-//! | [`admit`] | queues, fairness and learned limits |
+//! | [`admission`] | queues, fairness and learned limits |
 //! | [`budget`] | how long a statement may wait before a server has it |
 //! | [`quota`] | usage limits of organisations over all instances |
-//! | [`turn`] | who runs next at a server that has too much to do |
+//! | [`scheduler`] | who runs next at a server that has too much to do |
 //! | [`retry`] | budgets and backoff |
 //! | [`retry_after`] | when callers that were refused may come back |
 //! | [`member`] | probes, suspicion, incarnations |
@@ -44,10 +44,9 @@
 //! What they share: [`chart`] (state charts read from files), [`life`] (those of sessions and connections),
 //! [`timer`], [`journal`].
 
-pub mod admit;
+pub mod admission;
 pub mod balance;
 pub mod budget;
-pub mod cadence;
 pub mod capacity;
 pub mod chart;
 pub mod claim;
@@ -57,12 +56,13 @@
 pub mod fresh;
 pub mod gate;
 pub mod grant;
+pub mod intervals;
 pub mod journal;
 pub mod leader;
 pub mod lease;
 pub mod life;
 pub mod member;
-pub mod place;
+pub mod placement;
 pub mod plan;
 pub mod quota;
 pub mod recovery;
@@ -70,11 +70,11 @@
 pub mod retry;
 pub mod retry_after;
 pub mod route;
+pub mod scheduler;
 pub mod spread;
 pub mod switch;
 pub mod timer;
 pub mod token;
-pub mod turn;
 
 /// Milliseconds of a local monotonic clock.
 pub type Time = u64;
--- a/crates/core/src/place.rs
+++ b/crates/core/src/placement.rs
@@ -12,10 +12,10 @@
 /// Most homes of a group.
 pub const MAX_HOMES: usize = 3;
 /// Connections to each server that a home keeps for its own questions and orders.
-pub const CONTROL: u32 = 2;
+pub const CONTROL_CONNS: u32 = 2;
 
 /// The weight of an instance for a subject; the highest wins.
-pub fn weight(subject: &str, instance: &str) -> u64 {
+pub fn rendezvous_hash(subject: &str, instance: &str) -> u64 {
     let mut text = String::with_capacity(subject.len() + instance.len() + 1);
     text.push_str(subject);
     text.push('\n');
@@ -24,13 +24,16 @@
 }
 
 /// Whether an instance takes part in placement. A suspect may refute, so nothing moves for it yet.
-pub fn takes_part(it: &MemberView) -> bool {
+pub fn is_eligible(it: &MemberView) -> bool {
     matches!(it.state, MemberState::Alive | MemberState::Suspect)
 }
 
 /// The instance that wins a subject.
-pub fn winner<'a>(subject: &str, members: impl Iterator<Item = &'a MemberView>) -> Option<&'a MemberView> {
-    members.filter(|it| takes_part(it)).max_by_key(|it| (weight(subject, &it.name), &it.name))
+pub fn pick_member<'a>(
+    subject: &str,
+    members: impl Iterator<Item = &'a MemberView>,
+) -> Option<&'a MemberView> {
+    members.filter(|it| is_eligible(it)).max_by_key(|it| (rendezvous_hash(subject, &it.name), &it.name))
 }
 
 /// The homes of a group, the first one first.
@@ -38,19 +41,19 @@
     let mut zones: Vec<&Name> = spec.servers.iter().map(|it| &it.zone).collect();
     zones.sort_unstable();
     zones.dedup();
-    let in_zone = |zone: &&Name| winner(&spec.name, members.iter().filter(|it| it.zone == **zone));
+    let in_zone = |zone: &&Name| pick_member(&spec.name, members.iter().filter(|it| it.zone == **zone));
     let mut out: Vec<&MemberView> = zones.iter().filter_map(in_zone).collect();
     if out.is_empty() {
         // No instance lives beside a server; any will do.
-        out.extend(winner(&spec.name, members.iter()));
+        out.extend(pick_member(&spec.name, members.iter()));
     }
-    out.sort_by_key(|it| (Reverse(weight(&spec.name, &it.name)), it.name.clone()));
+    out.sort_by_key(|it| (Reverse(rendezvous_hash(&spec.name, &it.name)), it.name.clone()));
     out.truncate(MAX_HOMES);
     out.into_iter().map(|it| it.name.clone()).collect()
 }
 
 /// The order in which an instance in `zone` tries the homes: its own zone's first.
-pub fn preferred(homes: &[Name], members: &[MemberView], zone: &str) -> Vec<Name> {
+pub fn own_zone_first(homes: &[Name], members: &[MemberView], zone: &str) -> Vec<Name> {
     let near = |it: &Name| find(members, it).is_some_and(|m| m.zone == zone);
     let mut out = homes.to_vec();
     out.sort_by_key(|it| !near(it));
@@ -66,9 +69,9 @@
 /// How many connections the home of `rank` out of `homes` may open to each server for callers' work.
 ///
 /// The shares of all homes and their control connections never add up to more than `limit`.
-pub fn share(limit: u32, homes: usize, rank: usize) -> u32 {
+pub fn connection_share(limit: u32, homes: usize, rank: usize) -> u32 {
     let n = homes.max(1) as u32;
-    let usable = limit.saturating_sub(n * CONTROL);
+    let usable = limit.saturating_sub(n * CONTROL_CONNS);
     let extra = u32::from((rank as u32) < usable % n);
     usable / n + extra
 }
@@ -81,7 +84,7 @@
 
 /// How many homes a server with room for `limit` connections has among `instances`: all of them where
 /// that leaves each enough, few otherwise.
-pub fn spread(limit: usize, instances: usize) -> usize {
+pub fn home_count(limit: usize, instances: usize) -> usize {
     let instances = instances.max(1);
     match limit / instances {
         each if each >= OWN_CONNS => instances,
@@ -103,7 +106,7 @@
 impl<'a> Candidate<'a> {
     /// Sorts it among others, the winner first.
     fn key(&self, subject: &str, is_even: bool) -> (Reverse<u64>, Reverse<u64>, &'a Name) {
-        let hash = weight(subject, self.name);
+        let hash = rendezvous_hash(subject, self.name);
         // Scores are above zero, where the order of their bits is theirs.
         let score = if is_even { 0 } else { self.score(hash).to_bits() };
         (Reverse(score), Reverse(hash), self.name)
@@ -119,14 +122,14 @@
 }
 
 /// Sorts instances by how they come for a subject, the winner first. Where all weigh the same this is the order of
-/// [`weight`].
-pub fn order(subject: &str, all: &mut [Candidate<'_>]) {
+/// [`rendezvous_hash`].
+pub fn sort(subject: &str, all: &mut [Candidate<'_>]) {
     let is_even = is_even(all);
     all.sort_by_cached_key(|it| it.key(subject, is_even));
 }
 
 /// The instance that wins a subject.
-pub fn best<'a>(subject: &str, all: &[Candidate<'a>]) -> Option<&'a Name> {
+pub fn pick<'a>(subject: &str, all: &[Candidate<'a>]) -> Option<&'a Name> {
     let is_even = is_even(all);
     all.iter().min_by_key(|it| it.key(subject, is_even)).map(|it| it.name)
 }
@@ -138,7 +141,7 @@
 /// Instances in the order in which they are homes of a subject: those of its zone first, then by weight.
 pub fn rank<'a>(subject: &str, zone: &str, instances: impl Iterator<Item = Candidate<'a>>) -> Vec<Name> {
     let mut all: Vec<Candidate<'a>> = instances.collect();
-    order(subject, &mut all);
+    sort(subject, &mut all);
     all.sort_by_key(|it| it.zone != zone);
     all.into_iter().map(|it| it.name.clone()).collect()
 }
@@ -148,6 +151,6 @@
     let mut zones: Vec<&Name> = members.iter().map(|it| &it.zone).collect();
     zones.sort_unstable();
     zones.dedup();
-    let in_zone = |zone: &&Name| winner("watch", members.iter().filter(|it| it.zone == **zone));
+    let in_zone = |zone: &&Name| pick_member("watch", members.iter().filter(|it| it.zone == **zone));
     zones.iter().filter_map(in_zone).map(|it| it.name.clone()).collect()
 }
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -204,7 +204,7 @@
 }
 
 fn stop(outlook: &Outlook, instance: &Name) -> Result<Parts, PlanError> {
-    let Some(it) = crate::place::find(&outlook.members, instance) else {
+    let Some(it) = crate::placement::find(&outlook.members, instance) else {
         let known = join(outlook.members.iter().map(|it| &it.name));
         return Err(PlanError::Unknown { kind: "instance", name: instance.clone(), known });
     };
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -12,18 +12,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteConfig {
     /// The longest time a read waits at a replica for its mark.
-    pub wait: u64,
+    pub max_wait: u64,
     /// What another availability zone counts.
-    pub zone: u64,
+    pub zone_cost: u64,
     /// What each request running or queued there counts.
-    pub queue: u64,
+    pub queue_cost: u64,
     /// A server not heard for this long gets no reads.
-    pub silence: u64,
+    pub max_silence: u64,
 }
 
 impl Default for RouteConfig {
     fn default() -> RouteConfig {
-        RouteConfig { wait: 60, zone: 2, queue: 1, silence: 300 }
+        RouteConfig { max_wait: 60, zone_cost: 2, queue_cost: 1, max_silence: 300 }
     }
 }
 
@@ -35,11 +35,11 @@
     /// Its availability zone.
     pub zone: Name,
     /// Whether it is the primary.
-    pub primary: bool,
+    pub is_primary: bool,
     /// Whether new work may go there: it isn't draining and its connections work.
-    pub open: bool,
+    pub accepts_work: bool,
     /// When it last answered.
-    pub heard: Option<Time>,
+    pub last_contact: Option<Time>,
     /// Its term.
     pub term: Term,
     /// The last entry of its log.
@@ -67,15 +67,15 @@
         /// The server.
         server: usize,
     },
-    /// Nowhere at present.
-    Nowhere,
+    /// Unavailable at present.
+    Unavailable,
 }
 
 /// Whether a replica's own account allows it to answer a read that needs `mark`.
 ///
 /// Its log has to end with an entry of the term it follows: then a majority, the primary and itself,
 /// holds all it shows. A term below the mark's may show what was dropped since.
-pub fn may_answer(term: Term, received: Mark, applied: Lsn, mark: Mark) -> bool {
+pub fn can_answer(term: Term, received: Mark, applied: Lsn, mark: Mark) -> bool {
     received.term == term && term >= mark.term && applied >= mark.lsn
 }
 
@@ -92,24 +92,24 @@
     aged: impl Fn(&Candidate) -> bool,
 ) -> Target {
     let usable = |it: &&Candidate| {
-        let heard = it.heard.is_some_and(|at| now.saturating_sub(at) <= config.silence);
-        it.open && heard && !tried.contains(&it.server)
+        let heard = it.last_contact.is_some_and(|at| now.saturating_sub(at) <= config.max_silence);
+        it.accepts_work && heard && !tried.contains(&it.server)
     };
     let cost = |it: &Candidate| {
-        let away = if it.zone == zone { 0 } else { config.zone };
-        away + config.queue * it.queued as u64
+        let away = if it.zone == zone { 0 } else { config.zone_cost };
+        away + config.queue_cost * it.queued as u64
     };
     let wait = |it: &Candidate| if it.applied >= mark.lsn { 0 } else { it.lag.max(1) };
     let replicas = candidates
         .iter()
         .filter(usable)
-        .filter(|it| !it.primary && it.received.term == it.term && it.term >= mark.term)
-        .filter(|it| wait(it) <= config.wait && aged(it));
+        .filter(|it| !it.is_primary && it.received.term == it.term && it.term >= mark.term)
+        .filter(|it| wait(it) <= config.max_wait && aged(it));
     match replicas.min_by_key(|it| (cost(it) + wait(it), it.server)) {
-        Some(it) => Target::Replica { server: it.server, wait: config.wait },
-        None => match candidates.iter().filter(usable).find(|it| it.primary) {
+        Some(it) => Target::Replica { server: it.server, wait: config.max_wait },
+        None => match candidates.iter().filter(usable).find(|it| it.is_primary) {
             Some(it) => Target::Primary { server: it.server },
-            None => Target::Nowhere,
+            None => Target::Unavailable,
         },
     }
 }
--- a/crates/core/src/turn.rs
+++ b/crates/core/src/scheduler.rs
@@ -24,9 +24,9 @@
 };
 
 mod fair;
-mod least;
+mod min_share;
 
-use self::{fair::Owners, least::MinShare};
+use self::{fair::Owners, min_share::MinShare};
 
 /// Initial limit, and the maximum where one instance limits only its own statements: enough for a server with a few
 /// slots and one statement in transit.
@@ -68,7 +68,8 @@
     /// Priority of the route; 0 is the highest.
     pub priority: u8,
     /// Latest time at which the statement can start and still meet its caller's objective.
-    pub aim: Time,
+    #[serde(rename = "aim")]
+    pub soft_deadline: Time,
     /// Identifier of the kind of work. Kinds differ in how long their statements take.
     pub kind: u64,
     /// Average duration of a statement of this kind, as measured by the instance that the statement comes from; 0 if
@@ -89,13 +90,13 @@
 }
 
 /// Returns the class of work that a minimum share is kept for.
-fn class(rank: &Rank) -> least::WorkClass {
+fn class(rank: &Rank) -> min_share::WorkClass {
     (rank.priority, rank.kind)
 }
 
 /// Scheduler of the statements at one server. `T` is the handle of a queued statement.
 #[derive(Debug)]
-pub struct Turns<T> {
+pub struct Scheduler<T> {
     running: usize,
     limit: f64,
     max_limit: f64,
@@ -114,9 +115,9 @@
     min_share: MinShare,
 }
 
-impl<T> Default for Turns<T> {
-    fn default() -> Turns<T> {
-        Turns {
+impl<T> Default for Scheduler<T> {
+    fn default() -> Scheduler<T> {
+        Scheduler {
             running: 0,
             limit: DEFAULT_MAX_LIMIT,
             max_limit: DEFAULT_MAX_LIMIT,
@@ -131,29 +132,29 @@
     }
 }
 
-impl<T> Turns<T> {
+impl<T> Scheduler<T> {
     /// Number of running statements.
     pub fn running(&self) -> usize {
         self.running
     }
 
     /// Number of queued statements.
-    pub fn waiting(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
     /// Number of owners with queued statements.
-    pub fn owners(&self) -> usize {
+    pub fn queued_owners(&self) -> usize {
         self.owners.queued()
     }
 
     /// Number of tracked owners: those with queued statements, and those that have had more than their share.
-    pub fn known_owners(&self) -> usize {
+    pub fn tracked_owners(&self) -> usize {
         self.owners.len()
     }
 
     /// Returns the number of permits granted by the minimum share since the last call, and resets it.
-    pub fn take_lifted(&mut self) -> u64 {
+    pub fn take_min_share_permits(&mut self) -> u64 {
         self.min_share.take_granted()
     }
 
@@ -163,40 +164,40 @@
     }
 
     /// Sets the maximum of the limit, for a scheduler that all instances share.
-    pub fn set_most(&mut self, max: usize) {
+    pub fn set_max_limit(&mut self, max: usize) {
         self.max_limit = (max as f64).max(MIN_LIMIT);
         self.limit = self.limit.min(self.max_limit);
     }
 
     /// Discards the learned limit.
-    pub fn reset(&mut self) {
+    pub fn reset_limit(&mut self) {
         self.limit = self.max_limit.min(DEFAULT_MAX_LIMIT);
     }
 
     /// Returns true if recent statements indicate that the server has a queue of its own.
-    pub fn is_shrunk(&self) -> bool {
+    pub fn is_limit_reduced(&self) -> bool {
         self.limit < self.max_limit.min(DEFAULT_MAX_LIMIT) - 1.0
     }
 
     /// Returns true if the limit is at its minimum: the overload is more than one instance alone can hold back.
-    pub fn is_lowest(&self) -> bool {
+    pub fn is_limit_min(&self) -> bool {
         self.limit < MIN_LIMIT + 1.0
     }
 
     /// Returns true if statements are queued or were queued recently.
-    pub fn is_crowded(&self, now: Time) -> bool {
+    pub fn is_overloaded(&self, now: Time) -> bool {
         !self.queue.is_empty() || self.queued_at.is_some_and(|at| now.saturating_sub(at) < OVERLOAD_HOLD)
     }
 
     /// Returns true if a statement could run immediately.
-    pub fn is_free(&self) -> bool {
+    pub fn has_free_permit(&self) -> bool {
         self.running < self.limit() && self.queue.is_empty()
     }
 
     /// Returns true if a statement would be queued for too large a part of its remaining time.
-    pub fn refuses(&mut self, rank: Rank, now: Time) -> bool {
+    pub fn should_reject(&mut self, rank: Rank, now: Time) -> bool {
         self.min_share.note_demand(class(&rank), self.request_work(&rank));
-        let left = rank.aim.saturating_sub(now);
+        let left = rank.soft_deadline.saturating_sub(now);
         let waits = !rank.pinned && !self.queue.is_empty();
         waits
             && self.expected_wait(rank, now) * 100 > left * MAX_WAIT_PERCENT
@@ -246,14 +247,14 @@
     }
 
     /// Takes a permit if one is free and no statement is queued. Returns true if it did.
-    pub fn start(&mut self) -> bool {
-        let free = self.is_free();
+    pub fn try_start(&mut self) -> bool {
+        let free = self.has_free_permit();
         self.running += usize::from(free);
         free
     }
 
     /// Queues a statement.
-    pub fn wait(&mut self, rank: Rank, now: Time, waiter: T) {
+    pub fn enqueue(&mut self, rank: Rank, now: Time, waiter: T) {
         self.queued_at = Some(now);
         self.min_share.note_demand(class(&rank), self.request_work(&rank));
         self.owners.enqueue(rank.share);
@@ -273,12 +274,12 @@
     }
 
     /// Releases the permit of a statement that has ended.
-    pub fn end(&mut self) {
+    pub fn finish(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
     /// Removes the next statement from the queue and gives it a permit, if one is free.
-    pub fn next(&mut self, now: Time) -> Option<T> {
+    pub fn dequeue(&mut self, now: Time) -> Option<T> {
         if self.running >= self.limit() {
             return None;
         }
@@ -321,7 +322,7 @@
     /// Returns true if the minimum share applies: the class is starved, the owner is within its share, and the statement
     /// can still meet its deadline.
     fn is_eligible(&self, rank: &Rank, now: Time) -> bool {
-        let useful = !rank.pinned && now <= rank.aim;
+        let useful = !rank.pinned && now <= rank.soft_deadline;
         useful
             && self.min_share.is_starved(class(rank))
             && self.owners.excess(rank.share, rank.priority, 0.0) == 0
@@ -335,7 +336,13 @@
     /// Sort key among the statements of one owner.
     fn owner_key(&self, rank: &Rank, now: Time) -> Key {
         let work = self.cost(rank) * rank.statements;
-        Key { unpinned: !rank.pinned, excess: 0, priority: rank.priority, late: now > rank.aim, work }
+        Key {
+            unpinned: !rank.pinned,
+            excess: 0,
+            priority: rank.priority,
+            late: now > rank.soft_deadline,
+            work,
+        }
     }
 
     /// Work of one permit, in microseconds; the average of all permits if the cost of the kind is unknown.
@@ -380,7 +387,7 @@
     }
 
     /// Raises the limit after a fast statement; lowers it after one that was slow or refused.
-    pub fn learn(&mut self, fast: bool) {
+    pub fn adjust_limit(&mut self, fast: bool) {
         let limit = if fast { self.limit + INCREASE_STEP } else { self.limit * DECREASE_FACTOR };
         self.limit = limit.clamp(MIN_LIMIT, self.max_limit);
     }
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -169,7 +169,7 @@
         Choice::Uniform => sample(members.to_vec(), FANOUT, rng),
         Choice::Groups => {
             let groups = (members.len() as f64 + 1.0).sqrt().round().max(1.0) as u64;
-            let group = |name: &str| crate::place::weight("group", name) % groups;
+            let group = |name: &str| crate::placement::rendezvous_hash("group", name) % groups;
             let mine = group(me);
             let (near, far): (Vec<&MemberView>, Vec<&MemberView>) =
                 members.iter().partition(|it| group(&it.name) == mine);
--- a/crates/core/tests/cadence.rs
+++ b/crates/core/tests/intervals.rs
@@ -1,6 +1,6 @@
 //! A quiet fleet: its calls of the store stay as many when it grows.
 
-use {pondtrack_core::cadence, rstest::rstest, std::time::Duration};
+use {pondtrack_core::intervals, rstest::rstest, std::time::Duration};
 
 /// Between two looks at all entries.
 const LOOK: Duration = Duration::from_secs(3);
@@ -12,7 +12,7 @@
 #[case::sweep(300)]
 #[case::aim(760)]
 fn a_quiet_fleet_of_any_size_writes_one_heartbeat_a_second_at_most(#[case] instances: usize) {
-    let a_second = instances as f64 / cadence::heartbeat(instances).as_secs_f64();
+    let a_second = instances as f64 / intervals::heartbeat_interval(instances).as_secs_f64();
     assert!(a_second <= 1.0, "{a_second} heartbeats a second");
 }
 
@@ -23,8 +23,8 @@
 #[case::sweep(300)]
 #[case::aim(760)]
 fn an_instance_that_misses_one_heartbeat_still_counts(#[case] instances: usize) {
-    let heartbeat = cadence::heartbeat(instances);
-    let lapse = LOOK * cadence::lapse(instances, LOOK) as u32;
+    let heartbeat = intervals::heartbeat_interval(instances);
+    let lapse = LOOK * intervals::expiry_polls(instances, LOOK) as u32;
     assert!(lapse >= heartbeat * 2, "{lapse:?} for {heartbeat:?}");
     assert!(lapse <= heartbeat * 3, "{lapse:?} for {heartbeat:?}");
 }
@@ -32,8 +32,8 @@
 #[test]
 fn one_that_believes_in_a_smaller_fleet_writes_more_often_than_others_expect() {
     for n in 1..760 {
-        assert!(cadence::heartbeat(n) <= cadence::heartbeat(n + 1));
-        assert!(cadence::lapse(n, LOOK) <= cadence::lapse(n + 1, LOOK));
+        assert!(intervals::heartbeat_interval(n) <= intervals::heartbeat_interval(n + 1));
+        assert!(intervals::expiry_polls(n, LOOK) <= intervals::expiry_polls(n + 1, LOOK));
     }
 }
 
@@ -46,6 +46,6 @@
     #[case] revoke_ms: Option<u64>,
     #[case] watch_ms: u64,
 ) {
-    let got = cadence::watch(Duration::from_millis(apply_ms), revoke_ms.map(Duration::from_millis));
+    let got = intervals::watch_timeout(Duration::from_millis(apply_ms), revoke_ms.map(Duration::from_millis));
     assert_eq!(got, Duration::from_millis(watch_ms));
 }
--- a/crates/core/tests/lending.rs
+++ b/crates/core/tests/lending.rs
@@ -3,7 +3,7 @@
 
 use {
     pondtrack_core::{
-        place,
+        placement,
         quota::{
             ANSWERS, Demand, LONGEST_TERM, Lender, Limiter, Limits, Offer, PERIOD, Pacing, SLOTS, Slots,
             Stamp, TERM, slot,
@@ -95,7 +95,7 @@
         let names: Vec<Name> = (0..n).map(|it| Name::from(format!("n{it:03}"))).collect();
         let ranked = |slot: usize| {
             let mut all: Vec<usize> = (0..n).collect();
-            all.sort_by_key(|it| Reverse(place::weight(&format!("limit {slot}"), &names[*it])));
+            all.sort_by_key(|it| Reverse(placement::rendezvous_hash(&format!("limit {slot}"), &names[*it])));
             all
         };
         let mut it = World {
--- a/crates/core/tests/place.rs
+++ b/crates/core/tests/placement.rs
@@ -3,8 +3,8 @@
 
 use {
     pondtrack_core::{
-        capacity::{Capacity, MOST_WEIGHT, Smallest},
-        place::{self, Candidate},
+        capacity::{Capacity, MAX_WEIGHT, MinCapacity},
+        placement::{self, Candidate},
     },
     pondtrack_proto::Name,
     rstest::rstest,
@@ -38,7 +38,7 @@
     }
 
     fn all(&self) -> Vec<Candidate<'_>> {
-        let smallest = Smallest::of(self.capacities.iter().copied().flatten());
+        let smallest = MinCapacity::of(self.capacities.iter().copied().flatten());
         let candidate = |at: usize| Candidate {
             name: &self.names[at],
             zone: &self.zones[at],
@@ -78,14 +78,14 @@
     let all = fleet.all();
     let strong = all.iter().filter(|it| it.weight == 6.0).count();
     assert_eq!(strong, (0..n).filter(|it| it % 20 == 3).count(), "six times as strong");
-    let limiter = |at: usize| place::best(&subject(at), &all).unwrap().clone();
+    let limiter = |at: usize| placement::pick(&subject(at), &all).unwrap().clone();
     check(&all, limiter, "limiters");
     // Servers are in zones; where all instances are in the server's, the first is dispatcher and home.
     let one: Vec<Candidate<'_>> = all.iter().map(|it| Candidate { zone: &fleet.zones[0], ..*it }).collect();
-    let dispatcher = |at: usize| place::rank(&subject(at), "z0", one.iter().copied())[0].clone();
+    let dispatcher = |at: usize| placement::rank(&subject(at), "z0", one.iter().copied())[0].clone();
     check(&one, dispatcher, "dispatchers and homes");
     let in_zone: Vec<Candidate<'_>> = all.iter().copied().filter(|it| it.zone == "z1").collect();
-    let home = |at: usize| place::rank(&subject(at), "z1", all.iter().copied())[0].clone();
+    let home = |at: usize| placement::rank(&subject(at), "z1", all.iter().copied())[0].clone();
     check(&in_zone, home, "homes of a zone");
 }
 
@@ -101,15 +101,15 @@
         let all = fleet.all();
         for at in 0..400 {
             let subject = subject(at);
-            let hash = |it: &Candidate<'_>| place::weight(&subject, it.name);
+            let hash = |it: &Candidate<'_>| placement::rendezvous_hash(&subject, it.name);
             let mut ranked = all.clone();
             ranked.sort_by_key(|it| (it.zone != "z2", Reverse(hash(it)), it.name));
             let ranked: Vec<Name> = ranked.iter().map(|it| it.name.clone()).collect();
-            assert_eq!(place::rank(&subject, "z2", all.iter().copied()), ranked);
+            assert_eq!(placement::rank(&subject, "z2", all.iter().copied()), ranked);
             let winner = all.iter().max_by_key(|it| hash(it)).map(|it| it.name);
-            assert_eq!(place::best(&subject, &all), winner);
+            assert_eq!(placement::pick(&subject, &all), winner);
             let mut ordered = all.clone();
-            place::order(&subject, &mut ordered);
+            placement::sort(&subject, &mut ordered);
             let before = all.iter().filter(|it| hash(it) > hash(&all[0])).count();
             assert_eq!(ordered.iter().position(|it| it.name == all[0].name), Some(before));
         }
@@ -127,13 +127,13 @@
     let name = &before.names[at];
     let (mut lost, mut left) = (0, 0);
     for subject in (0..2_000).map(subject) {
-        let old = place::rank(&subject, "z0", before.all().into_iter());
-        let new = place::rank(&subject, "z0", after.all().into_iter());
+        let old = placement::rank(&subject, "z0", before.all().into_iter());
+        let new = placement::rank(&subject, "z0", after.all().into_iter());
         assert!(position(&new, name) >= position(&old, name), "a weaker one wins nothing");
         assert_eq!(without(&new, name), without(&old, name), "the others keep their order");
         lost += usize::from(old[0] == *name && new[0] != *name);
         let others = before.all().into_iter().filter(|it| it.name != name);
-        let rest = place::rank(&subject, "z0", others);
+        let rest = placement::rank(&subject, "z0", others);
         assert_eq!(rest, without(&old, name), "one that leaves moves what it had");
         left += usize::from(rest[0] != old[0]);
     }
@@ -151,16 +151,16 @@
 
 #[test]
 fn the_scarcer_of_processor_and_link_decides() {
-    let smallest = Smallest::of([SMALL, STRONG].into_iter());
+    let smallest = MinCapacity::of([SMALL, STRONG].into_iter());
     let weight = |processor, link| smallest.weight(Some(Capacity { processor, link, ..SMALL }));
     assert_eq!(weight(84, 10), 1.0);
     assert_eq!(weight(504, 200), 6.0, "by its processor");
     assert_eq!(weight(504, 20), 2.0, "by its link");
-    assert_eq!(weight(4_000, 1_000), MOST_WEIGHT);
+    assert_eq!(weight(4_000, 1_000), MAX_WEIGHT);
     assert_eq!(weight(0, 200), 1.0, "the processor isn't stated");
     assert_eq!(weight(504, 0), 1.0, "the link isn't stated");
     assert_eq!(smallest.weight(None), 1.0, "nothing is stated");
-    let only = Smallest::of([Capacity { link: 0, ..SMALL }].into_iter());
+    let only = MinCapacity::of([Capacity { link: 0, ..SMALL }].into_iter());
     assert_eq!(only.weight(Some(Capacity { processor: 168, ..SMALL })), 2.0, "nobody else states a link");
-    assert_eq!(Smallest::default().weight(Some(STRONG)), 1.0, "nobody states anything");
+    assert_eq!(MinCapacity::default().weight(Some(STRONG)), 1.0, "nobody states anything");
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -2,10 +2,10 @@
 
 use {
     pondtrack_core::{
-        admit::{Admission, Admit, AdmitConfig, Turn},
+        admission::{Admission, AdmissionConfig, AdmissionQueue, Dequeued},
         classify::{Stmt, classify},
         detect::{Cause, DetectConfig, Detector, Heard, Opinion},
-        place,
+        placement,
         retry::{Backoff, Budget},
         route::{Candidate, RouteConfig, Target, choose},
     },
@@ -50,7 +50,7 @@
 #[case("COPY stock FROM stdin")]
 #[case("DECLARE c CURSOR FOR SELECT 1")]
 fn what_shared_connections_cannot_do_is_refused(#[case] text: &str) {
-    assert!(matches!(classify(text), Stmt::Refuse(_)), "{:?}", classify(text));
+    assert!(matches!(classify(text), Stmt::Unsupported(_)), "{:?}", classify(text));
 }
 
 #[rstest]
@@ -73,9 +73,9 @@
     Candidate {
         server,
         zone: "a".into(),
-        primary: server == 0,
-        open: true,
-        heard: Some(1_000),
+        is_primary: server == 0,
+        accepts_work: true,
+        last_contact: Some(1_000),
         term: Term(2),
         received: Mark::new(2, 100),
         applied: Lsn(applied),
@@ -100,8 +100,8 @@
 
 #[rstest]
 #[case::lagging(Candidate { lag: 5_000, applied: Lsn(1), ..candidate(1, 0) })]
-#[case::draining(Candidate { open: false, ..candidate(1, 100) })]
-#[case::silent(Candidate { heard: Some(0), ..candidate(1, 100) })]
+#[case::draining(Candidate { accepts_work: false, ..candidate(1, 100) })]
+#[case::silent(Candidate { last_contact: Some(0), ..candidate(1, 100) })]
 #[case::older_term(Candidate { term: Term(1), received: Mark::new(1, 100), ..candidate(1, 100) })]
 #[case::log_of_an_older_term(Candidate { received: Mark::new(1, 100), ..candidate(1, 100) })]
 fn such_a_replica_gets_no_reads(#[case] it: Candidate) {
@@ -150,15 +150,15 @@
     let after = members(33);
     let mut moved = 0;
     for n in 0..870 {
-        let old = place::homes(&spec(n), &before);
-        let new = place::homes(&spec(n), &after);
+        let old = placement::homes(&spec(n), &before);
+        let new = placement::homes(&spec(n), &after);
         let mut zones: Vec<_> =
-            old.iter().map(|it| &place::find(&before, it).expect("a member").zone).collect();
+            old.iter().map(|it| &placement::find(&before, it).expect("a member").zone).collect();
         zones.sort();
         zones.dedup();
         assert_eq!(zones.len(), 3);
         for it in new.iter().filter(|it| !old.contains(it)) {
-            assert!(place::find(&before, it).is_none(), "an old instance took a group over on a join");
+            assert!(placement::find(&before, it).is_none(), "an old instance took a group over on a join");
             moved += 1;
         }
     }
@@ -170,10 +170,10 @@
 #[test]
 fn a_leaving_instance_is_no_home() {
     let mut list = members(6);
-    let old = place::homes(&spec(1), &list);
+    let old = placement::homes(&spec(1), &list);
     let at = list.iter().position(|it| it.name == old[0]).expect("a member");
     list[at].state = MemberState::Leaving;
-    assert!(!place::homes(&spec(1), &list).contains(&old[0]));
+    assert!(!placement::homes(&spec(1), &list).contains(&old[0]));
 }
 
 #[rstest]
@@ -182,69 +182,71 @@
 #[case(25, 1)]
 #[case(7, 3)]
 fn shares_never_exceed_a_servers_limit(#[case] limit: u32, #[case] homes: usize) {
-    let all: u32 = (0..homes).map(|rank| place::share(limit, homes, rank) + place::CONTROL).sum();
+    let all: u32 = (0..homes)
+        .map(|rank| placement::connection_share(limit, homes, rank) + placement::CONTROL_CONNS)
+        .sum();
     assert!(all <= limit, "{all} of {limit}");
 }
 
 #[test]
 fn callers_take_turns_and_the_hopeless_are_refused_at_once() {
-    let mut it = Admission::new(AdmitConfig { queue: 4, reserve: 0 }, 1);
+    let mut it = AdmissionQueue::new(AdmissionConfig { max_queued: 4, reserved_slots: 0 }, 1);
     let (greedy, modest) = (Name::from("greedy"), Name::from("modest"));
-    assert_eq!(it.offer(0, &greedy, 1_000, false), Admit::Run);
-    let waits: Vec<Admit> = (0..3).map(|_| it.offer(0, &greedy, 1_000, false)).collect();
-    let Admit::Wait(other) = it.offer(0, &modest, 1_000, false) else { panic!("it waits") };
-    assert!(matches!(it.offer(0, &modest, 1_000, false), Admit::Refuse { .. }), "the queue is full");
-    assert_eq!(it.done(10, Some(10), false).len(), 1);
+    assert_eq!(it.submit(0, &greedy, 1_000, false), Admission::Admitted);
+    let waits: Vec<Admission> = (0..3).map(|_| it.submit(0, &greedy, 1_000, false)).collect();
+    let Admission::Queued(other) = it.submit(0, &modest, 1_000, false) else { panic!("it waits") };
+    assert!(matches!(it.submit(0, &modest, 1_000, false), Admission::Rejected { .. }), "the queue is full");
+    assert_eq!(it.complete(10, Some(10), false).len(), 1);
     // The second turn is the other caller's, although two of the first one came before.
-    assert_eq!(it.done(20, Some(10), false), [Turn { ticket: other, admitted: true }]);
+    assert_eq!(it.complete(20, Some(10), false), [Dequeued { ticket: other, admitted: true }]);
     assert_eq!(waits.len(), 3);
     for _ in 0..100 {
-        it.done(30, Some(400), false);
+        it.complete(30, Some(400), false);
     }
-    let mut slow = Admission::new(AdmitConfig { queue: 100, reserve: 0 }, 1);
-    slow.offer(0, &greedy, 10, false);
+    let mut slow = AdmissionQueue::new(AdmissionConfig { max_queued: 100, reserved_slots: 0 }, 1);
+    slow.submit(0, &greedy, 10, false);
     for _ in 0..40 {
-        slow.done(0, Some(500), false);
-        slow.offer(0, &greedy, 10, false);
+        slow.complete(0, Some(500), false);
+        slow.submit(0, &greedy, 10, false);
     }
-    assert!(matches!(slow.offer(0, &modest, 5, false), Admit::Refuse { retry_ms } if retry_ms >= 10));
+    assert!(matches!(slow.submit(0, &modest, 5, false), Admission::Rejected { retry_ms } if retry_ms >= 10));
 }
 
 #[test]
 fn what_could_not_be_done_in_time_is_refused_before_it_begins() {
-    let mut it = Admission::new(AdmitConfig { queue: 100, reserve: 0 }, 1);
+    let mut it = AdmissionQueue::new(AdmissionConfig { max_queued: 100, reserved_slots: 0 }, 1);
     let name = Name::from("a");
     for _ in 0..200 {
-        it.offer(0, &name, 1_000, false);
-        it.done(0, Some(20), false);
+        it.submit(0, &name, 1_000, false);
+        it.complete(0, Some(20), false);
     }
-    assert_eq!(it.offer(0, &name, 1_000, false), Admit::Run);
-    let Admit::Wait(ticket) = it.offer(0, &name, 100, false) else { panic!("it waits") };
+    assert_eq!(it.submit(0, &name, 1_000, false), Admission::Admitted);
+    let Admission::Queued(ticket) = it.submit(0, &name, 100, false) else { panic!("it waits") };
     // It is its turn at 90, but a request takes 20: begun, it would be cut at its deadline, its fate unknown.
-    assert_eq!(it.done(90, None, false), [Turn { ticket, admitted: false }]);
+    assert_eq!(it.complete(90, None, false), [Dequeued { ticket, admitted: false }]);
     assert_eq!((it.running(), it.queued()), (0, 0));
 }
 
 #[test]
 fn idle_transactions_leave_a_slot_free() {
-    let mut it = Admission::new(AdmitConfig { queue: 10, reserve: 1 }, 3);
+    let mut it = AdmissionQueue::new(AdmissionConfig { max_queued: 10, reserved_slots: 1 }, 3);
     let name = Name::from("a");
-    assert_eq!(it.offer(0, &name, 100, true), Admit::Run);
-    assert_eq!(it.offer(0, &name, 100, true), Admit::Run);
-    assert!(matches!(it.offer(0, &name, 100, true), Admit::Wait(_)));
+    assert_eq!(it.submit(0, &name, 100, true), Admission::Admitted);
+    assert_eq!(it.submit(0, &name, 100, true), Admission::Admitted);
+    assert!(matches!(it.submit(0, &name, 100, true), Admission::Queued(_)));
     let other = Name::from("b");
-    assert!(matches!(it.offer(0, &other, 100, false), Admit::Wait(_)), "it queues behind");
-    assert_eq!(it.fill(0).len(), 1, "the single statement takes the free slot");
+    assert!(matches!(it.submit(0, &other, 100, false), Admission::Queued(_)), "it queues behind");
+    assert_eq!(it.dispatch(0).len(), 1, "the single statement takes the free slot");
 }
 
 #[test]
 fn the_learned_limit_shrinks_under_latency_and_grows_back() {
-    let mut it = Admission::new(AdmitConfig::default(), 20);
+    let mut it = AdmissionQueue::new(AdmissionConfig::default(), 20);
     let name = Name::from("a");
     let mut run = |ms: u64, n: usize| {
         for _ in 0..n {
-            it.offer(0, &name, 1_000, false);
-            it.done(0, Some(ms), false);
+            it.submit(0, &name, 1_000, false);
+            it.complete(0, Some(ms), false);
         }
         it.limit()
     };
--- a/crates/core/tests/turn.rs
+++ b/crates/core/tests/scheduler.rs
@@ -1,122 +1,135 @@
 //! Scheduling of statements at an overloaded server.
 
 use {
-    pondtrack_core::turn::{Rank, Share, Turns},
+    pondtrack_core::scheduler::{Rank, Scheduler, Share},
     rand::{RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
     rstest::rstest,
 };
 
 const NO_OWNER: Share = Share { owner: 0, weight: 0 };
-const RANK: Rank =
-    Rank { share: NO_OWNER, pinned: false, priority: 2, aim: 1_000, kind: 1, cost: 20, statements: 1 };
+const RANK: Rank = Rank {
+    share: NO_OWNER,
+    pinned: false,
+    priority: 2,
+    soft_deadline: 1_000,
+    kind: 1,
+    cost: 20,
+    statements: 1,
+};
 
 #[rstest]
 #[case::open_transaction(Rank { pinned: true, priority: 9, ..RANK }, Rank { priority: 0, ..RANK })]
 #[case::priority(Rank { priority: 1, cost: 90, ..RANK }, RANK)]
-#[case::deadline_not_passed(Rank { aim: 900, cost: 90, ..RANK }, Rank { aim: 400, ..RANK })]
+#[case::deadline_not_passed(Rank { soft_deadline: 900, cost: 90, ..RANK }, Rank { soft_deadline: 400, ..RANK })]
 #[case::shorter_work(RANK, Rank { cost: 40, ..RANK })]
 #[case::fewer_statements(RANK, Rank { cost: 15, statements: 4, ..RANK })]
 fn order_of_two_queued_statements(#[case] first: Rank, #[case] second: Rank) {
     for (a, b) in [(0, 1), (1, 0)] {
-        let mut scheduler = Turns::default();
-        while scheduler.start() {}
+        let mut scheduler = Scheduler::default();
+        while scheduler.try_start() {}
         let ranks = [first, second];
-        scheduler.wait(ranks[a], 0, a);
-        scheduler.wait(ranks[b], 0, b);
-        scheduler.end();
-        assert_eq!(scheduler.next(500), Some(0));
+        scheduler.enqueue(ranks[a], 0, a);
+        scheduler.enqueue(ranks[b], 0, b);
+        scheduler.finish();
+        assert_eq!(scheduler.dequeue(500), Some(0));
     }
 }
 
 #[test]
 fn equal_statements_run_in_order_of_arrival() {
-    let mut scheduler = Turns::default();
-    while scheduler.start() {}
+    let mut scheduler = Scheduler::default();
+    while scheduler.try_start() {}
     for n in 0..3 {
-        scheduler.wait(RANK, 0, n);
+        scheduler.enqueue(RANK, 0, n);
     }
     for n in 0..3 {
-        scheduler.end();
-        assert_eq!(scheduler.next(0), Some(n));
+        scheduler.finish();
+        assert_eq!(scheduler.dequeue(0), Some(n));
     }
-    assert_eq!(scheduler.next(0), None, "the queue is empty");
+    assert_eq!(scheduler.dequeue(0), None, "the queue is empty");
 }
 
 #[test]
 fn slow_responses_reduce_the_limit_to_one_and_fast_ones_restore_it() {
-    let mut scheduler = Turns::<()>::default();
+    let mut scheduler = Scheduler::<()>::default();
     let initial = scheduler.limit();
     for _ in 0..50 {
-        scheduler.learn(false);
+        scheduler.adjust_limit(false);
     }
     assert_eq!(scheduler.limit(), 1);
-    assert!(scheduler.start());
-    assert!(!scheduler.start());
+    assert!(scheduler.try_start());
+    assert!(!scheduler.try_start());
     for _ in 0..50 {
-        scheduler.learn(true);
+        scheduler.adjust_limit(true);
     }
     assert_eq!(scheduler.limit(), initial);
 }
 
 #[test]
 fn new_statements_do_not_overtake_the_queue() {
-    let mut scheduler = Turns::default();
-    while scheduler.start() {}
-    scheduler.wait(RANK, 0, ());
-    scheduler.end();
-    assert!(!scheduler.start(), "the free permit belongs to the queued statement");
-    assert_eq!(scheduler.next(0), Some(()));
+    let mut scheduler = Scheduler::default();
+    while scheduler.try_start() {}
+    scheduler.enqueue(RANK, 0, ());
+    scheduler.finish();
+    assert!(!scheduler.try_start(), "the free permit belongs to the queued statement");
+    assert_eq!(scheduler.dequeue(0), Some(()));
 }
 
 #[test]
 fn a_shared_limit_can_exceed_the_limit_of_one_instance() {
-    let mut scheduler = Turns::<()>::default();
-    scheduler.set_most(16);
+    let mut scheduler = Scheduler::<()>::default();
+    scheduler.set_max_limit(16);
     for _ in 0..500 {
-        scheduler.learn(true);
+        scheduler.adjust_limit(true);
     }
     assert_eq!(scheduler.limit(), 16);
-    scheduler.reset();
-    assert!(scheduler.limit() < 16 && !scheduler.is_shrunk());
+    scheduler.reset_limit();
+    assert!(scheduler.limit() < 16 && !scheduler.is_limit_reduced());
 }
 
 #[test]
 fn a_server_counts_as_overloaded_for_a_while_after_the_last_queued_statement() {
-    let mut scheduler = Turns::default();
-    while scheduler.start() {}
-    assert!(!scheduler.is_crowded(5));
-    scheduler.wait(RANK, 10, ());
-    scheduler.end();
-    assert_eq!(scheduler.next(20), Some(()));
-    assert!(scheduler.is_crowded(900_000));
-    assert!(!scheduler.is_crowded(1_100_000));
+    let mut scheduler = Scheduler::default();
+    while scheduler.try_start() {}
+    assert!(!scheduler.is_overloaded(5));
+    scheduler.enqueue(RANK, 10, ());
+    scheduler.finish();
+    assert_eq!(scheduler.dequeue(20), Some(()));
+    assert!(scheduler.is_overloaded(900_000));
+    assert!(!scheduler.is_overloaded(1_100_000));
 }
 
 #[test]
 fn statements_that_would_wait_too_long_are_rejected_immediately() {
-    let mut scheduler = Turns::default();
-    while scheduler.start() {}
+    let mut scheduler = Scheduler::default();
+    while scheduler.try_start() {}
     for n in 0..40 {
-        scheduler.wait(RANK, 0, n);
+        scheduler.enqueue(RANK, 0, n);
     }
     // A permit is released every 20 ticks.
     for n in 1..=10 {
-        scheduler.end();
-        assert_eq!(scheduler.next(n * 20), Some(n - 1));
+        scheduler.finish();
+        assert_eq!(scheduler.dequeue(n * 20), Some(n - 1));
     }
     // Thirty statements are ahead, which takes 600 ticks.
-    assert!(scheduler.refuses(Rank { aim: 1_200, ..RANK }, 200), "1,000 ticks are left");
-    assert!(!scheduler.refuses(Rank { aim: 3_200, ..RANK }, 200), "3,000 ticks are left");
-    assert!(!scheduler.refuses(Rank { priority: 1, aim: 1_200, ..RANK }, 200), "it has a higher priority");
-    assert!(!scheduler.refuses(Rank { pinned: true, aim: 1_200, ..RANK }, 200), "its transaction is open");
+    assert!(scheduler.should_reject(Rank { soft_deadline: 1_200, ..RANK }, 200), "1,000 ticks are left");
+    assert!(!scheduler.should_reject(Rank { soft_deadline: 3_200, ..RANK }, 200), "3,000 ticks are left");
+    assert!(
+        !scheduler.should_reject(Rank { priority: 1, soft_deadline: 1_200, ..RANK }, 200),
+        "it has a higher priority"
+    );
+    assert!(
+        !scheduler.should_reject(Rank { pinned: true, soft_deadline: 1_200, ..RANK }, 200),
+        "its transaction is open"
+    );
 }
 
 #[test]
 fn nothing_is_rejected_while_the_queue_is_empty() {
-    let mut scheduler = Turns::<()>::default();
-    while scheduler.start() {}
-    assert!(!scheduler.refuses(Rank { aim: 0, ..RANK }, 500));
+    let mut scheduler = Scheduler::<()>::default();
+    while scheduler.try_start() {}
+    assert!(!scheduler.should_reject(Rank { soft_deadline: 0, ..RANK }, 500));
 }
 
 /// An instance that overestimates the cost of its statements gets as many permits as others.
@@ -126,15 +139,16 @@
 /// goes first, and rejected statements are never measured, so the estimates didn't recover.
 #[test]
 fn the_estimate_of_an_instance_does_not_change_its_share_of_permits() {
-    let mut scheduler = Turns::default();
-    while scheduler.start() {}
-    let wait = |s: &mut Turns<usize>, at: usize, now| s.wait(Rank { cost: [20, 200][at], ..RANK }, now, at);
+    let mut scheduler = Scheduler::default();
+    while scheduler.try_start() {}
+    let wait =
+        |s: &mut Scheduler<usize>, at: usize, now| s.enqueue(Rank { cost: [20, 200][at], ..RANK }, now, at);
     let mut served = [0, 0];
     wait(&mut scheduler, 0, 0);
     wait(&mut scheduler, 1, 0);
     for now in 1..=100 {
-        scheduler.end();
-        let at = scheduler.next(now).expect("two statements are queued");
+        scheduler.finish();
+        let at = scheduler.dequeue(now).expect("two statements are queued");
         served[at] += 1;
         wait(&mut scheduler, at, now);
     }
@@ -176,7 +190,7 @@
         share,
         pinned: false,
         priority,
-        aim: 200 * MS,
+        soft_deadline: 200 * MS,
         kind: u64::from(priority),
         cost,
         statements: 1,
@@ -188,9 +202,9 @@
 /// demand and the maximum number of tracked owners.
 fn simulate(all: &[Demand], seed: u64) -> (Vec<Outcome>, usize) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut scheduler = Turns::default();
+    let mut scheduler = Scheduler::default();
     for _ in 0..50 {
-        scheduler.learn(false);
+        scheduler.adjust_limit(false);
     }
     let mut outcomes = vec![Outcome::default(); all.len()];
     let mut gap = |at: usize| {
@@ -205,25 +219,27 @@
         if now >= DURATION {
             return (outcomes, tracked);
         }
-        tracked = tracked.max(scheduler.known_owners());
-        scheduler.retain(|(_, aim): &(usize, u64)| *aim > now);
+        tracked = tracked.max(scheduler.tracked_owners());
+        scheduler.retain(|(_, soft_deadline): &(usize, u64)| *soft_deadline > now);
         match runs.filter(|run| run.0 == now) {
-            Some((_, kind, aim)) => {
-                outcomes[kind].in_time += u32::from(now <= aim + all[kind].rank.cost);
+            Some((_, kind, soft_deadline)) => {
+                outcomes[kind].in_time += u32::from(now <= soft_deadline + all[kind].rank.cost);
                 outcomes[kind].part += all[kind].rank.cost as f64 / DURATION as f64;
-                scheduler.end();
-                runs = scheduler.next(now).map(|(at, aim)| (now + all[at].rank.cost, at, aim));
+                scheduler.finish();
+                runs = scheduler
+                    .dequeue(now)
+                    .map(|(at, soft_deadline)| (now + all[at].rank.cost, at, soft_deadline));
             }
             None => {
                 next[at] += gap(at).max(1);
                 outcomes[at].requests += 1;
-                let rank = Rank { aim: now + all[at].rank.aim, ..all[at].rank };
-                if scheduler.refuses(rank, now) {
+                let rank = Rank { soft_deadline: now + all[at].rank.soft_deadline, ..all[at].rank };
+                if scheduler.should_reject(rank, now) {
                     outcomes[at].rejected += 1;
-                } else if scheduler.start() {
-                    runs = Some((now + rank.cost, at, rank.aim));
+                } else if scheduler.try_start() {
+                    runs = Some((now + rank.cost, at, rank.soft_deadline));
                 } else {
-                    scheduler.wait(rank, now, (at, rank.aim));
+                    scheduler.enqueue(rank, now, (at, rank.soft_deadline));
                 }
             }
         }
@@ -260,7 +276,7 @@
 fn ordinary_work_does_not_delay_urgent_work_of_its_owner(#[values(1, 2, 3)] seed: u64) {
     let ordinary = (1..=10).map(|owner| demand(owner, 2, 10 * MS, 0.2));
     let urgent = (1..=10).map(|owner| Demand {
-        rank: Rank { aim: 60 * MS, ..demand(owner, 1, 5 * MS, 0.02).rank },
+        rank: Rank { soft_deadline: 60 * MS, ..demand(owner, 1, 5 * MS, 0.02).rank },
         load: 0.02,
     });
     let all: Vec<Demand> = urgent.chain(ordinary).collect();
@@ -288,131 +304,134 @@
 
 #[test]
 fn an_owner_returns_without_credit_or_debt() {
-    let mut scheduler = Turns::default();
+    let mut scheduler = Scheduler::default();
     for _ in 0..50 {
-        scheduler.learn(false);
+        scheduler.adjust_limit(false);
     }
-    assert!(scheduler.start());
-    let rank = |owner| Rank { aim: u64::MAX, cost: 10 * MS, ..demand(owner, 2, 10 * MS, 1.0).rank };
+    assert!(scheduler.try_start());
+    let rank = |owner| Rank { soft_deadline: u64::MAX, cost: 10 * MS, ..demand(owner, 2, 10 * MS, 1.0).rank };
     for n in 0..1_000 {
-        scheduler.wait(rank(1), n, 1);
-        scheduler.wait(rank(1), n, 1);
-        scheduler.end();
-        assert_eq!(scheduler.next(n), Some(1));
+        scheduler.enqueue(rank(1), n, 1);
+        scheduler.enqueue(rank(1), n, 1);
+        scheduler.finish();
+        assert_eq!(scheduler.dequeue(n), Some(1));
     }
     for _ in 0..100 {
-        scheduler.wait(rank(2), 1_000, 2);
+        scheduler.enqueue(rank(2), 1_000, 2);
     }
     let mut permits = [0, 0];
     for n in 0..40 {
-        scheduler.end();
-        permits[scheduler.next(1_000 + n).unwrap() - 1] += 1;
+        scheduler.finish();
+        permits[scheduler.dequeue(1_000 + n).unwrap() - 1] += 1;
     }
     assert!(permits[0].min(permits[1]) >= 15, "{permits:?}");
 }
 
 #[test]
 fn permits_are_in_proportion_to_weights() {
-    let mut scheduler = Turns::default();
+    let mut scheduler = Scheduler::default();
     for _ in 0..50 {
-        scheduler.learn(false);
+        scheduler.adjust_limit(false);
     }
-    assert!(scheduler.start());
+    assert!(scheduler.try_start());
     for (owner, weight) in [(1, 1), (2, 3)] {
         let share = Share { owner, weight };
         for _ in 0..1_000 {
-            scheduler.wait(Rank { share, aim: u64::MAX, cost: 10 * MS, ..RANK }, 0, owner);
+            scheduler.enqueue(Rank { share, soft_deadline: u64::MAX, cost: 10 * MS, ..RANK }, 0, owner);
         }
     }
     let mut permits = [0, 0];
     for n in 0..400 {
-        scheduler.end();
-        permits[scheduler.next(n).unwrap() as usize - 1] += 1;
+        scheduler.finish();
+        permits[scheduler.dequeue(n).unwrap() as usize - 1] += 1;
     }
     assert!((90..=115).contains(&permits[0]), "{permits:?}");
 }
 
 #[test]
 fn idle_owners_are_removed() {
-    let mut scheduler = Turns::default();
+    let mut scheduler = Scheduler::default();
     for _ in 0..50 {
-        scheduler.learn(false);
+        scheduler.adjust_limit(false);
     }
-    assert!(scheduler.start());
-    let rank = |owner| Rank { aim: u64::MAX, ..demand(owner, 2, 10 * MS, 1.0).rank };
+    assert!(scheduler.try_start());
+    let rank = |owner| Rank { soft_deadline: u64::MAX, ..demand(owner, 2, 10 * MS, 1.0).rank };
     // The first owner always has queued statements.
     for _ in 0..20_000 {
-        scheduler.wait(rank(1), 0, 1);
+        scheduler.enqueue(rank(1), 0, 1);
     }
     let mut max_idle = 0;
     for owner in 2..10_000 {
-        scheduler.wait(rank(owner), 0, owner);
-        scheduler.end();
-        assert!(scheduler.next(owner).is_some());
-        max_idle = max_idle.max(scheduler.known_owners() - scheduler.owners());
+        scheduler.enqueue(rank(owner), 0, owner);
+        scheduler.finish();
+        assert!(scheduler.dequeue(owner).is_some());
+        max_idle = max_idle.max(scheduler.tracked_owners() - scheduler.queued_owners());
     }
     assert!(max_idle <= 256, "{max_idle} of 10,000 idle owners are tracked");
-    while scheduler.owners() > 1 {
-        scheduler.end();
-        assert!(scheduler.next(10_000).is_some());
+    while scheduler.queued_owners() > 1 {
+        scheduler.finish();
+        assert!(scheduler.dequeue(10_000).is_some());
     }
     for n in 0..10 {
-        scheduler.end();
-        assert_eq!(scheduler.next(20_000 + n), Some(1));
+        scheduler.finish();
+        assert_eq!(scheduler.dequeue(20_000 + n), Some(1));
     }
-    assert_eq!(scheduler.known_owners(), 1);
+    assert_eq!(scheduler.tracked_owners(), 1);
 }
 
 #[test]
 fn a_flood_is_rejected_and_other_owners_are_not() {
-    let mut scheduler = Turns::default();
+    let mut scheduler = Scheduler::default();
     for _ in 0..50 {
-        scheduler.learn(false);
+        scheduler.adjust_limit(false);
     }
-    assert!(scheduler.start());
-    let rank = |owner, now| Rank { aim: now + 200 * MS, ..demand(owner, 2, 10 * MS, 1.0).rank };
+    assert!(scheduler.try_start());
+    let rank = |owner, now| Rank { soft_deadline: now + 200 * MS, ..demand(owner, 2, 10 * MS, 1.0).rank };
     let mut now = 0;
     for _ in 0..40 {
-        scheduler.wait(rank(1, now), now, 1);
+        scheduler.enqueue(rank(1, now), now, 1);
     }
     for _ in 0..10 {
         now += 10 * MS;
-        scheduler.end();
-        assert_eq!(scheduler.next(now), Some(1));
+        scheduler.finish();
+        assert_eq!(scheduler.dequeue(now), Some(1));
     }
-    assert!(scheduler.refuses(rank(1, now), now), "thirty statements of the same owner are ahead");
-    assert!(!scheduler.refuses(rank(2, now), now), "only a few statements of the other owner are ahead");
+    assert!(scheduler.should_reject(rank(1, now), now), "thirty statements of the same owner are ahead");
+    assert!(
+        !scheduler.should_reject(rank(2, now), now),
+        "only a few statements of the other owner are ahead"
+    );
 }
 
 /// The order without owners: open transactions, priority, deadlines not passed, shorter work, arrival.
 #[rstest]
 fn without_owners_the_order_is_that_of_a_plain_sort(#[values(1, 2, 3, 4)] seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut scheduler = Turns::default();
-    while scheduler.start() {}
+    let mut scheduler = Scheduler::default();
+    while scheduler.try_start() {}
     let costs = [2 * MS, 7 * MS, 30 * MS];
     let mut expected: Vec<(Rank, usize)> = Vec::new();
     for n in 0..5_000 {
         let now = n as u64 * MS;
         for _ in 0..rng.random_range(0..3) {
             let kind = rng.random_range(0..3);
-            let aim = now + rng.random_range(0..400) * MS;
+            let soft_deadline = now + rng.random_range(0..400) * MS;
             let (pinned, priority) = (rng.random_bool(0.1), rng.random_range(0..3));
             let statements = if rng.random_bool(0.2) { 4 } else { 1 };
             let (share, cost) = (NO_OWNER, costs[kind]);
-            let rank = Rank { share, pinned, priority, aim, kind: kind as u64, cost, statements };
-            scheduler.wait(rank, now, n);
+            let rank = Rank { share, pinned, priority, soft_deadline, kind: kind as u64, cost, statements };
+            scheduler.enqueue(rank, now, n);
             expected.push((rank, n));
         }
         if rng.random_bool(0.95) && !expected.is_empty() {
             let key = |at: &usize| {
                 let r = expected[*at].0;
-                (!r.pinned, r.priority, now > r.aim, r.cost * r.statements)
+                (!r.pinned, r.priority, now > r.soft_deadline, r.cost * r.statements)
             };
             let first = (0..expected.len()).min_by_key(key).unwrap();
-            scheduler.end();
-            assert_eq!(scheduler.next(now), Some(expected.remove(first).1), "{n}");
+            scheduler.finish();
+            assert_eq!(scheduler.dequeue(now), Some(expected.remove(first).1), "{n}");
         }
     }
-    assert_eq!(scheduler.take_lifted(), 0);
+    assert_eq!(scheduler.take_min_share_permits(), 0);
 }
--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -19,7 +19,7 @@
         upstream::Upstream,
     },
     bytes::BytesMut,
-    pondtrack_core::{budget::Wait, turn::Rank},
+    pondtrack_core::{budget::Wait, scheduler::Rank},
     pondtrack_proto::{Mark, Name},
     snafu::Snafu,
     std::{rc::Rc, time::Duration},
@@ -152,7 +152,7 @@
     match turn(inst, up, rank, slow, until).await {
         Turn::Granted(it) => Ok(Some(it)),
         Turn::Refused => Err(NoWay::Refused),
-        Turn::Late => Err(NoWay::Late(Wait::Turn)),
+        Turn::Late => Err(NoWay::Late(Wait::Permit)),
     }
 }
 
@@ -224,7 +224,7 @@
             stream: self.stream,
             pinned: self.pinned,
             server: self.server.clone(),
-            rank: it.rank.map(|it| Rank { aim: it.aim.saturating_sub(inst.now()), ..it }),
+            rank: it.rank.map(|it| Rank { soft_deadline: it.soft_deadline.saturating_sub(inst.now()), ..it }),
             wait_ms: left(self.until),
             left_ms: left(it.end - ANSWER_BACK),
             slow: it.slow,
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -15,7 +15,7 @@
         turnstile::{Permit, Turn},
         upstream::Upstream,
     },
-    pondtrack_core::turn::Rank,
+    pondtrack_core::scheduler::Rank,
     pondtrack_proto::Name,
     std::{rc::Rc, time::Duration},
     tokio::time::{Instant, timeout_at},
@@ -128,7 +128,7 @@
     let peer = inst.peer(name).filter(|it| it.is_usable(inst.now()))?;
     let link = peer.link(inst).await?;
     let wait_ms = until.saturating_duration_since(Instant::now()).as_millis() as u32;
-    let rank = Rank { aim: rank.aim.saturating_sub(inst.now()), ..rank };
+    let rank = Rank { soft_deadline: rank.soft_deadline.saturating_sub(inst.now()), ..rank };
     let ask = Ask::Turn(TurnWish { server: up.entry().id.clone(), rank, slow, wait_ms });
     let told = timeout_at(until + ANSWER_BACK, link.ask(ask)).await;
     let (turn, crowded) = match told {
--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -10,7 +10,7 @@
         ports::{Collection, InstanceRecord, Object, Objects, Record, StoreError},
         settings::GONE_AFTER,
     },
-    pondtrack_core::cadence,
+    pondtrack_core::intervals,
     pondtrack_proto::{Name, Revision},
     std::{rc::Rc, time::Duration},
     tokio::time::{Instant, sleep},
@@ -97,7 +97,7 @@
 /// The longest wait of one watch.
 fn watch_limit(inst: &Instance) -> Duration {
     let bounds = inst.bounds.get();
-    cadence::watch(bounds.apply, bounds.revoke)
+    intervals::watch_timeout(bounds.apply, bounds.revoke)
 }
 
 /// Takes objects in; `whole` says that whatever isn't among them doesn't exist.
@@ -238,7 +238,7 @@
     fn is_fresh(&self, inst: &Instance) -> bool {
         // Where the store came back from an older copy, it may not be there any longer.
         let known = self.revision.is_some_and(|it| inst.era().is_none_or(|era| era <= it.era()));
-        let heartbeat = cadence::heartbeat(inst.peers().map_or(0, |it| it.len()) + 1);
+        let heartbeat = intervals::heartbeat_interval(inst.peers().map_or(0, |it| it.len()) + 1);
         let written = self.written.is_some_and(|at| at.elapsed() < heartbeat);
         known && (written || self.due.is_some_and(|it| Instant::now() < it))
     }
@@ -292,7 +292,7 @@
 /// The instances whose entries changed lately; `known` holds names, revisions and when they were new.
 fn live(known: &mut Vec<(Name, Revision, u64)>, items: &[Object], look: u64) -> Vec<Peer> {
     known.retain(|it| items.iter().any(|item| item.name == it.0));
-    let lapse = cadence::lapse(items.len(), LOOK);
+    let lapse = intervals::expiry_polls(items.len(), LOOK);
     let mut peers = Vec::new();
     for item in items {
         let at = known.binary_search_by(|it| it.0.cmp(&item.name)).unwrap_or_else(|at| {
--- a/crates/engine/src/group.rs
+++ b/crates/engine/src/group.rs
@@ -17,7 +17,7 @@
         },
         upstream::Upstream,
     },
-    pondtrack_core::{balance::Offer, claim::Claim, fresh::Freshness, gate::Gate, leader::Leader},
+    pondtrack_core::{balance::ServerLoad, claim::Claim, fresh::Freshness, gate::Gate, leader::Leader},
     pondtrack_proto::{Lsn, Mark, Name, Term},
     std::{
         cell::{Cell, RefCell},
@@ -148,12 +148,12 @@
         }
     }
 
-    fn offer(&self, inst: &Instance, it: &Upstream, now: Micros) -> Offer {
-        Offer {
-            expected: it.pace.get().expected(now),
-            load: it.turns.load(),
-            far: it.entry().zone != inst.settings.zone,
-            primary: self.primary.get() == Some(it.index),
+    fn offer(&self, inst: &Instance, it: &Upstream, now: Micros) -> ServerLoad {
+        ServerLoad {
+            expected_latency: it.pace.get().get(now),
+            in_flight: it.turns.load(),
+            is_remote: it.entry().zone != inst.settings.zone,
+            is_primary: self.primary.get() == Some(it.index),
         }
     }
 
--- a/crates/engine/src/group/evidence.rs
+++ b/crates/engine/src/group/evidence.rs
@@ -72,7 +72,7 @@
         it.stated.set(now);
         if status.role == Role::Replica {
             let mut lag = it.lag.get();
-            lag.stated(status.lag * 1_000, now);
+            lag.observe_reported(status.lag * 1_000, now);
             it.lag.set(lag);
         }
         if status.term > self.term.get() {
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -20,8 +20,8 @@
     },
     pondtrack_core::{
         balance::{Average, Averages},
-        capacity::{Capacity, Smallest},
-        place::{self, Candidate},
+        capacity::{Capacity, MinCapacity},
+        placement::{self, Candidate},
     },
     pondtrack_proto::{Name, Revision},
     rand::{RngExt, SeedableRng},
@@ -106,7 +106,7 @@
     /// Other live instances, sorted by name; none until they were counted.
     peers: RefCell<Option<Vec<Rc<Peer>>>>,
     /// The least that any instance can carry.
-    smallest: Cell<Smallest>,
+    smallest: Cell<MinCapacity>,
     /// Counts up whenever shares of connections may have changed.
     placement: Cell<u64>,
     /// The directory of servers, sorted by id; none until it was read.
@@ -403,7 +403,7 @@
         };
         let peers: Vec<Rc<Peer>> = peers.into_iter().map(keep).collect();
         let capacities = peers.iter().map(|it| it.capacity).chain([self.settings.capacity]);
-        self.smallest.set(Smallest::of(capacities.flatten()));
+        self.smallest.set(MinCapacity::of(capacities.flatten()));
         let old = self.peers.replace(Some(peers.clone()));
         if old.as_ref().map(Vec::len) != Some(peers.len()) {
             let weight = self.own_candidate().weight;
@@ -434,7 +434,7 @@
         let zone = Name::new();
         let capacity = |it: &Name| self.peer(it).and_then(|it| it.capacity);
         let mut all: Vec<Candidate<'_>> = old.iter().map(|it| self.weigh(it, &zone, capacity(it))).collect();
-        place::order(subject, &mut all);
+        placement::sort(subject, &mut all);
         all.iter().zip(names).for_each(|(it, name)| *name = it.name.clone());
     }
 
@@ -466,16 +466,16 @@
     fn share(&self, up: &Upstream, conns: usize, peers: &[Rc<Peer>]) {
         let entry = up.entry();
         let all = peers.iter().map(|it| self.candidate(it)).chain([self.own_candidate()]);
-        let mut ranked = place::rank(&entry.id, &entry.zone, all.clone());
+        let mut ranked = placement::rank(&entry.id, &entry.zone, all.clone());
         up.set_dispatcher(ranked.first().filter(|it| **it != self.settings.name).cloned());
-        let n = place::spread(conns, peers.len() + 1);
+        let n = placement::home_count(conns, peers.len() + 1);
         up.shared.set_most(conns);
         let share = (conns * SHARED_TENTHS / 10 / n).max(1);
         let most = (conns * MOST_TENTHS / 10 / n).max(share);
         if n > peers.len() {
             // Each its own home; others are only gone through in need, each by another.
             let subject = format!("{} {}", entry.id, self.settings.name);
-            let mut others = place::rank(&subject, &entry.zone, all);
+            let mut others = placement::rank(&subject, &entry.zone, all);
             others.retain(|it| *it != self.settings.name);
             up.pool.set_share(share, most);
             let homes = others.len();
@@ -486,7 +486,7 @@
         let (share, most) = if mine { (share, most) } else { (0, SUBSTITUTE_CONNS) };
         up.pool.set_share(share, most);
         // Homes share the work of those that are none.
-        ranked[..n].rotate_left(place::weight(&entry.id, &self.settings.name) as usize % n);
+        ranked[..n].rotate_left(placement::rendezvous_hash(&entry.id, &self.settings.name) as usize % n);
         ranked.retain(|it| *it != self.settings.name);
         up.place(mine, ranked, n - usize::from(mine));
     }
--- a/crates/engine/src/limit/lending.rs
+++ b/crates/engine/src/limit/lending.rs
@@ -8,7 +8,7 @@
         message::{Ask, Lending, Told},
     },
     pondtrack_core::{
-        place::{self, Candidate},
+        placement::{self, Candidate},
         quota::{Offer, PERIOD, Reply, Slots, Stamp},
     },
     pondtrack_proto::Name,
@@ -67,7 +67,7 @@
         }
         all.push(own);
         let first = |slot: usize, all: &[Candidate<'_>]| {
-            place::best(&format!("limit {slot}"), all).unwrap_or(me).clone()
+            placement::pick(&format!("limit {slot}"), all).unwrap_or(me).clone()
         };
         let fit = std::array::from_fn(|slot| first(slot, &others));
         let usual = std::array::from_fn(|slot| first(slot, &all));
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -16,7 +16,7 @@
     pondtrack_core::{
         capacity::Capacity,
         quota::{Demand, Grant, Reply, Slots, Stamp},
-        turn::Rank,
+        scheduler::Rank,
     },
     pondtrack_proto::{Incarnation, Mark, Name, Revision},
     serde::{Deserialize, Serialize},
--- a/crates/engine/src/organisation.rs
+++ b/crates/engine/src/organisation.rs
@@ -1,7 +1,7 @@
 //! Organisations: whose callers they are, by their keys, and what they may use.
 
 use {
-    pondtrack_core::{quota::Limits, turn::Share},
+    pondtrack_core::{quota::Limits, scheduler::Share},
     pondtrack_proto::Name,
     serde::{Deserialize, Serialize},
     sha2::{Digest, Sha256},
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -24,7 +24,7 @@
     },
     bytes::BytesMut,
     futures::StreamExt,
-    pondtrack_core::turn::Rank,
+    pondtrack_core::scheduler::Rank,
     pondtrack_proto::Name,
     std::{
         cell::{Cell, RefCell},
@@ -208,7 +208,7 @@
         if up.crowd(inst.now()) {
             tell_homes(inst, &up);
         }
-        let rank = Rank { aim: it.rank.aim + inst.now(), ..it.rank };
+        let rank = Rank { soft_deadline: it.rank.soft_deadline + inst.now(), ..it.rank };
         let until = Instant::now() + Duration::from_millis(it.wait_ms.into());
         let turn = up.shared.enter(rank, Some(it.slow), until).await;
         count_lifted(inst, &up);
@@ -257,7 +257,7 @@
         if !it.pinned && up.entry().incarnation != it.server.incarnation {
             return Told::NotSent("another run of the server is known here".to_owned());
         }
-        let rank = it.rank.map(|it| Rank { aim: it.aim + inst.now(), ..it });
+        let rank = it.rank.map(|it| Rank { soft_deadline: it.soft_deadline + inst.now(), ..it });
         let mut channel = match (it.pinned, self.take_stream(it.stream)) {
             (true, Some(it)) => it,
             (true, None) => return Told::Broken("the transaction is gone".to_owned()),
--- a/crates/engine/src/spread.rs
+++ b/crates/engine/src/spread.rs
@@ -13,7 +13,7 @@
         peer::Peer,
         ports::Collection,
     },
-    pondtrack_core::place::{self, Candidate},
+    pondtrack_core::placement::{self, Candidate},
     pondtrack_proto::Name,
     std::{
         cell::{Cell, RefCell},
@@ -73,7 +73,7 @@
         let counts = |it: &&Rc<Peer>| it.zone == own.zone && !it.is_blind(now);
         let others = peers.iter().filter(counts).map(|it| inst.candidate(it));
         let zone: Vec<Candidate<'_>> = others.chain([inst.own_candidate()]).collect();
-        place::best("watch", &zone) == Some(&own.name)
+        placement::pick("watch", &zone) == Some(&own.name)
     }
 
     /// Whether this instance has to watch the store. One that has just started waits for those that do: all at once would
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -18,9 +18,9 @@
     },
     bytes::Bytes,
     pondtrack_core::{
-        budget::{Allowance, Budget, Rule, Wait},
+        budget::{Budget, Mode, TimeLimits, Wait},
         retry::Backoff,
-        turn::{Rank, Share},
+        scheduler::{Rank, Share},
     },
     pondtrack_proto::Mark,
     std::{cell::Cell, rc::Rc, time::Duration},
@@ -162,10 +162,13 @@
     ) -> Work<'a> {
         let since = inst.now();
         let end = arrived + route.timeout;
-        let allowance =
-            Allowance { arrived: since, objective: micros(route.objective), limit: micros(route.timeout) };
+        let allowance = TimeLimits {
+            arrived_at: since,
+            objective: micros(route.objective),
+            timeout: micros(route.timeout),
+        };
         let limited = inst.desired().is_some_and(|it| it.is_limited());
-        let rule = if limited { Rule::Objective } else { Rule::Limit };
+        let rule = if limited { Mode::Objective } else { Mode::PerWait };
         let budget = Cell::new(Budget::new(allowance, rule));
         Work { inst, route, it, owner, named, arrived, since, end, budget, progress }
     }
@@ -187,7 +190,7 @@
     pub async fn primary(&self, group: &Group) -> Result<Rc<Upstream>, Miss> {
         let found = group.wait_primary(&self.inst, self.until(Wait::Primary)).await;
         let it = found.ok_or_else(|| self.late(Wait::Primary))?;
-        self.budget.set(self.budget.get().found_primary(self.inst.now()));
+        self.budget.set(self.budget.get().after_primary_found(self.inst.now()));
         Ok(it)
     }
 
@@ -234,16 +237,16 @@
     /// Until when a statement waits for a server that has too much to do; then its caller is told to come
     /// back.
     fn hold(&self) -> Instant {
-        self.until(Wait::Turn).min(self.until(Wait::Connection))
+        self.until(Wait::Permit).min(self.until(Wait::Connection))
     }
 
     fn until(&self, wait: Wait) -> Instant {
-        self.arrived + Duration::from_micros(self.budget.get().until(wait) - self.since)
+        self.arrived + Duration::from_micros(self.budget.get().deadline(wait) - self.since)
     }
 
     /// Whether a statement that no server has run is not tried again. A change of primary is waited for all the same.
     pub fn gives_up(&self, group: &Group) -> bool {
-        self.budget.get().is_spent(self.inst.now()) && group.primary().is_some()
+        self.budget.get().is_exhausted(self.inst.now()) && group.primary().is_some()
     }
 
     /// It has waited in vain.
@@ -252,7 +255,7 @@
             Wait::Quota => (Count::OverLimit, "the organisation has used its quota"),
             Wait::Evidence => (Count::HeldEvidence, "the group's state isn't known"),
             Wait::Primary => (Count::HeldPrimary, "the group has no primary"),
-            Wait::Turn => (Count::HeldTurn, "too much to do"),
+            Wait::Permit => (Count::HeldTurn, "too much to do"),
             Wait::Connection => (Count::HeldConnection, "no connection is free"),
         };
         Miss::Late(why, Some(count))
@@ -292,7 +295,7 @@
             share: self.share(),
             pinned: false,
             priority: self.route.priority,
-            aim: self.since + micros(self.route.objective),
+            soft_deadline: self.since + micros(self.route.objective),
             kind: xxh3_64(self.route.database.as_bytes()),
             cost: self.inst.cost(&self.route.database),
             statements: if matches!(self.it.verb, Verb::Begin(_)) { TXN_STATEMENTS } else { 1 },
@@ -302,7 +305,10 @@
     /// The same at a server: what it takes there is taken off the time that is left.
     fn rank_at(&self, up: &Upstream) -> Rank {
         let it = self.rank();
-        Rank { aim: it.aim.saturating_sub(up.pace.get().expected(self.inst.now()) as Micros), ..it }
+        Rank {
+            soft_deadline: it.soft_deadline.saturating_sub(up.pace.get().get(self.inst.now()) as Micros),
+            ..it
+        }
     }
 
     /// The statement with all that goes along.
--- a/crates/engine/src/turnstile.rs
+++ b/crates/engine/src/turnstile.rs
@@ -6,7 +6,7 @@
         link::Link,
         message::Message,
     },
-    pondtrack_core::turn::{Rank, Turns},
+    pondtrack_core::scheduler::{Rank, Scheduler},
     std::{cell::RefCell, rc::Rc, time::Duration},
     tokio::{
         sync::oneshot,
@@ -17,7 +17,7 @@
 /// Hands out turns.
 pub struct Turnstile {
     clock: Clock,
-    turns: RefCell<Turns<oneshot::Sender<Permit>>>,
+    turns: RefCell<Scheduler<oneshot::Sender<Permit>>>,
 }
 
 /// What becomes of a statement that wants a turn.
@@ -39,66 +39,66 @@
     /// Statements that run or wait.
     pub fn load(&self) -> usize {
         let turns = self.turns.borrow();
-        turns.running() + turns.waiting()
+        turns.running() + turns.queued()
     }
 
     /// How busy it is, for a log line.
     pub fn account(&self) -> String {
         let turns = self.turns.borrow();
-        let (running, waiting, owners) = (turns.running(), turns.waiting(), turns.owners());
+        let (running, waiting, owners) = (turns.running(), turns.queued(), turns.queued_owners());
         format!("running={running} waiting={waiting} owners={owners} limit={}", turns.limit())
     }
 
     /// Turns that went to kinds of work by their minimum, since the last look.
     pub fn take_lifted(&self) -> u64 {
-        self.turns.borrow_mut().take_lifted()
+        self.turns.borrow_mut().take_min_share_permits()
     }
 
     /// Whether a statement could run at once.
     pub fn is_free(&self) -> bool {
-        self.turns.borrow().is_free()
+        self.turns.borrow().has_free_permit()
     }
 
     /// Whether the server has a queue, as far as recent statements show.
     pub fn is_shrunk(&self) -> bool {
-        self.turns.borrow().is_shrunk()
+        self.turns.borrow().is_limit_reduced()
     }
 
     /// Whether the limit is at its lowest.
     pub fn is_lowest(&self) -> bool {
-        self.turns.borrow().is_lowest()
+        self.turns.borrow().is_limit_min()
     }
 
     /// Whether somebody had to wait lately.
     pub fn is_crowded(&self) -> bool {
-        self.turns.borrow().is_crowded(self.clock.now())
+        self.turns.borrow().is_overloaded(self.clock.now())
     }
 
     /// Sets the highest limit.
     pub fn set_most(&self, most: usize) {
-        self.turns.borrow_mut().set_most(most);
+        self.turns.borrow_mut().set_max_limit(most);
     }
 
     /// Forgets what was learned of the server.
     pub fn reset(self: &Rc<Self>) {
-        self.turns.borrow_mut().reset();
+        self.turns.borrow_mut().reset_limit();
         self.pass(self.clock.now());
     }
 
     /// Waits for a turn. If it says when it is slow, the turnstile learns from how long it is held, if its statement ran.
     pub async fn enter(self: &Rc<Self>, rank: Rank, slow: Option<Micros>, until: Instant) -> Turn {
         let now = self.clock.now();
-        if self.turns.borrow_mut().refuses(rank, now) {
+        if self.turns.borrow_mut().should_reject(rank, now) {
             return Turn::Refused;
         }
-        if self.turns.borrow_mut().start() {
+        if self.turns.borrow_mut().try_start() {
             return Turn::Granted(self.permit(slow));
         }
         let _place = Place(self);
         let (turn, got) = oneshot::channel();
-        self.turns.borrow_mut().wait(rank, now, turn);
+        self.turns.borrow_mut().enqueue(rank, now, turn);
         // What can't be in time any longer is told so while its caller can still try elsewhere.
-        let left = rank.aim.checked_sub(now).filter(|it| *it > 0 && !rank.pinned);
+        let left = rank.soft_deadline.checked_sub(now).filter(|it| *it > 0 && !rank.pinned);
         let aim = left.map(|it| Instant::now() + Duration::from_micros(it)).filter(|it| *it < until);
         match timeout_at(aim.unwrap_or(until), got).await {
             Ok(Ok(mut it)) => {
@@ -117,7 +117,7 @@
 
     /// A statement was answered in good time, or it was slow or refused.
     pub fn learn(self: &Rc<Self>, quick: bool) {
-        self.turns.borrow_mut().learn(quick);
+        self.turns.borrow_mut().adjust_limit(quick);
         self.pass(self.clock.now());
     }
 
@@ -130,7 +130,7 @@
     /// Hands free turns to those that wait.
     fn pass(self: &Rc<Self>, now: Micros) {
         loop {
-            let next = self.turns.borrow_mut().next(now);
+            let next = self.turns.borrow_mut().dequeue(now);
             let Some(it) = next else { return };
             // Whoever has stopped waiting drops the turn, which passes it on.
             drop(it.send(self.permit(None)));
@@ -189,9 +189,9 @@
             Held::Here { of, watch, ran } => {
                 let now = of.clock.now();
                 let mut turns = of.turns.borrow_mut();
-                turns.end();
+                turns.finish();
                 if let Some((since, slow)) = watch.filter(|_| *ran) {
-                    turns.learn(now - since <= slow);
+                    turns.adjust_limit(now - since <= slow);
                 }
                 drop(turns);
                 of.pass(now);
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -17,7 +17,7 @@
         turnstile::Turnstile,
     },
     pondtrack_core::{
-        balance::{Average, Lag, Pace},
+        balance::{Average, LagEstimate, LatencyEstimate},
         recovery::Recovery,
     },
     pondtrack_proto::Name,
@@ -77,8 +77,8 @@
     pub(crate) returned: Cell<Micros>,
     /// What it counts for after it came back with nothing.
     pub(crate) recovery: Cell<Option<Recovery>>,
-    pub(crate) pace: Cell<Pace>,
-    pub(crate) lag: Cell<Lag>,
+    pub(crate) pace: Cell<LatencyEstimate>,
+    pub(crate) lag: Cell<LagEstimate>,
     pub(crate) heard: Cell<Micros>,
     pub(crate) silent: Cell<Option<Micros>>,
     pub(crate) refused: Cell<Option<Micros>>,
@@ -216,7 +216,7 @@
     /// What is known of it, for a log line.
     pub fn account(&self, now: Micros) -> String {
         let role = self.status.get().map_or("unknown", |it| it.1.role.into());
-        let took_ms = self.pace.get().expected(now) as u64 / 1_000;
+        let took_ms = self.pace.get().get(now) as u64 / 1_000;
         let lag_ms = self.lag.get().get(now) / 1_000;
         let reach = match (self.home.get(), self.direct.get()) {
             (true, true) => "direct",
@@ -329,7 +329,7 @@
 
     /// How long a statement may take until its connection is doubted.
     pub fn overdue(&self, now: Micros) -> Duration {
-        let expected = Duration::from_micros(self.pace.get().expected(now) as Micros);
+        let expected = Duration::from_micros(self.pace.get().get(now) as Micros);
         OVERDUE.max(expected * OVERDUE_FACTOR)
     }
 
@@ -496,8 +496,8 @@
     pub fn holds(&self, age: Micros, holds: bool, now: Micros) {
         let mut it = self.lag.get();
         match holds {
-            true => it.reached(age, now),
-            false => it.lacked(age, now),
+            true => it.observe_reached(age, now),
+            false => it.observe_missing(age, now),
         }
         self.lag.set(it);
     }
--- a/crates/pondtrackd/src/entry/mod.rs
+++ b/crates/pondtrackd/src/entry/mod.rs
@@ -12,7 +12,7 @@
 
 use {
     crate::{forward, node::Node},
-    pondtrack_core::place,
+    pondtrack_core::placement,
     pondtrack_proto::{Name, PeerMsg},
     std::{
         cell::{Cell, RefCell},
@@ -119,7 +119,7 @@
 
 /// The part of a process id that tells the instance.
 fn instance_bits(name: &str) -> i32 {
-    (place::weight("pid", name) & ((1 << INSTANCE_BITS) - 1)) as i32
+    (placement::rendezvous_hash("pid", name) & ((1 << INSTANCE_BITS) - 1)) as i32
 }
 
 /// Accepts callers.
--- a/crates/pondtrackd/src/entry/own.rs
+++ b/crates/pondtrackd/src/entry/own.rs
@@ -1,13 +1,13 @@
 //! Pondtrack's own settings, which a caller sets and shows like any other.
 
 use {
-    pondtrack_core::{classify::OWN, token::Token},
+    pondtrack_core::{classify::SETTING_PREFIX, token::Token},
     pondtrack_edge::answer::SqlError,
     pondtrack_proto::Name,
 };
 
 /// What the names of these settings begin with.
-pub const PREFIX: &str = OWN;
+pub const PREFIX: &str = SETTING_PREFIX;
 /// The settings, for hints.
 pub const NAMES: &str = "pondtrack.max_age, pondtrack.request_key, pondtrack.timeout and pondtrack.token";
 /// Highest age and timeout, in milliseconds.
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -238,14 +238,14 @@
             stmts.push(self.node.classifier.borrow_mut().classify(it));
         }
         if let Some(why) =
-            stmts.iter().find_map(|it| if let Stmt::Refuse(why) = it { Some(*why) } else { None })
+            stmts.iter().find_map(|it| if let Stmt::Unsupported(why) = it { Some(*why) } else { None })
         {
             return Err(SqlError::error("0A000", why));
         }
         match stmts.as_slice() {
             [] if batch.executes() => Ok(Work::Empty),
             [Stmt::Empty] if batch.is_simple() => Ok(Work::Empty),
-            [Stmt::ShowOwn(name)] => Ok(Work::Show(name.clone())),
+            [Stmt::ShowSetting(name)] => Ok(Work::Show(name.clone())),
             list if list.iter().any(is_own_set) => self.own_changes(list),
             list => Ok(Work::Run { class: class_of(list, batch.executes()), sets: sets_of(list) }),
         }
@@ -596,7 +596,7 @@
 }
 
 fn is_own_set(it: &Stmt) -> bool {
-    matches!(it, Stmt::Set { name, .. } if is_own(name)) || matches!(it, Stmt::ShowOwn(_))
+    matches!(it, Stmt::Set { name, .. } if is_own(name)) || matches!(it, Stmt::ShowSetting(_))
 }
 
 fn sets_of(list: &[Stmt]) -> Vec<Stmt> {
--- a/crates/pondtrackd/src/home/exec/read.rs
+++ b/crates/pondtrackd/src/home/exec/read.rs
@@ -31,7 +31,7 @@
             }
             let out = match self.target(mark, &tried).await {
                 Target::Replica { server, wait } => self.read_replica(server, wait, mark).await,
-                Target::Primary { .. } | Target::Nowhere => self.read_primary().await,
+                Target::Primary { .. } | Target::Unavailable => self.read_primary().await,
             };
             match out {
                 Err(Fail::Again { server, .. }) if self.node.now() < self.deadline => {
@@ -67,7 +67,7 @@
     /// Chooses a server; old evidence of age is renewed before replicas are given up for it.
     pub(super) async fn target(&self, mark: Mark, tried: &[usize]) -> Target {
         if !self.node.settings.replica_reads.is_on() {
-            return Target::Nowhere;
+            return Target::Unavailable;
         }
         let first = self.choose(mark, tried);
         let aged = self.req.age_ms.is_some();
@@ -110,7 +110,7 @@
             return Err(again("the server shows no position".into()));
         };
         let same = before.term == after.term && after.role != Role::Fenced;
-        let fits = same && route::may_answer(before.term, before.received, before.applied, mark);
+        let fits = same && route::can_answer(before.term, before.received, before.applied, mark);
         if !fits || !self.is_fresh(before.term, before.applied) {
             self.finish(lease, it.answer.txn);
             return Err(again("the replica is behind".into()));
--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -26,7 +26,7 @@
         fresh::Freshness,
         gate::{Gate, Ticket, Verdict},
         grant::Grants,
-        place,
+        placement,
         retry::Budget,
         route::Candidate,
     },
@@ -218,7 +218,7 @@
     pub fn configure(&self, node: &Node, spec: Rc<GroupSpec>, version: u64, rank: usize, count: usize) {
         for (it, new) in self.servers.iter().zip(&spec.servers) {
             *it.spec.borrow_mut() = new.clone();
-            let share = place::share(spec.limit, count, rank);
+            let share = placement::connection_share(spec.limit, count, rank);
             it.pool.resize(node, share, new.draining);
         }
         *self.spec.borrow_mut() = spec;
@@ -392,9 +392,9 @@
             Some(Candidate {
                 server: n,
                 zone: spec.zone.clone(),
-                primary: primary == Some(n),
-                open: !spec.draining && view.heard.refused.is_none(),
-                heard: view.heard.last,
+                is_primary: primary == Some(n),
+                accepts_work: !spec.draining && view.heard.refused.is_none(),
+                last_contact: view.heard.last,
                 term: position.term,
                 received: position.received,
                 applied: position.applied,
--- a/crates/pondtrackd/src/home/pool.rs
+++ b/crates/pondtrackd/src/home/pool.rs
@@ -8,7 +8,7 @@
     crate::{node::Node, telemetry::Count},
     pondtrack_core::{
         Time,
-        admit::{Admission, Admit, AdmitConfig, Turn},
+        admission::{Admission, AdmissionConfig, AdmissionQueue, Dequeued},
         life::{self, ConnEvent, ConnState},
         retry::Backoff,
     },
@@ -32,7 +32,7 @@
 
 /// The connections to one server.
 pub struct Pool {
-    admission: RefCell<Admission>,
+    admission: RefCell<AdmissionQueue>,
     waiting: RefCell<Vec<(u64, oneshot::Sender<bool>)>>,
     idle: RefCell<Vec<Upstream>>,
     lent: Cell<u32>,
@@ -64,7 +64,7 @@
     fn drop(&mut self) {
         let now = self.node.now();
         let took = self.sampled.then(|| now.saturating_sub(self.since));
-        let next = self.pool.admission.borrow_mut().done(now, took, self.begins);
+        let next = self.pool.admission.borrow_mut().complete(now, took, self.begins);
         self.pool.wake(next);
     }
 }
@@ -126,7 +126,7 @@
     /// An empty pool without a share.
     pub fn new() -> Rc<Pool> {
         Rc::new(Pool {
-            admission: RefCell::new(Admission::new(AdmitConfig::default(), 1)),
+            admission: RefCell::new(AdmissionQueue::new(AdmissionConfig::default(), 1)),
             waiting: RefCell::default(),
             idle: RefCell::default(),
             lent: Cell::default(),
@@ -142,7 +142,7 @@
         let keep = if closing { 0 } else { share.saturating_sub(self.lent.get()) };
         self.idle.borrow_mut().truncate(keep as usize);
         self.admission.borrow_mut().resize(share as usize);
-        let next = self.admission.borrow_mut().fill(node.now());
+        let next = self.admission.borrow_mut().dispatch(node.now());
         self.wake(next);
     }
 
@@ -209,10 +209,10 @@
             Denied { reason, retry_ms, overload: true }
         };
         let slot = |since| Slot { pool: self.clone(), node: node.clone(), since, begins, sampled: true };
-        let ticket = match self.admission.borrow_mut().offer(now, caller, deadline, begins) {
-            Admit::Run => return Ok(slot(now)),
-            Admit::Refuse { retry_ms } => return Err(overload(retry_ms)),
-            Admit::Wait(it) => it,
+        let ticket = match self.admission.borrow_mut().submit(now, caller, deadline, begins) {
+            Admission::Admitted => return Ok(slot(now)),
+            Admission::Rejected { retry_ms } => return Err(overload(retry_ms)),
+            Admission::Queued(it) => it,
         };
         let (send, receive) = oneshot::channel();
         self.waiting.borrow_mut().push((ticket, send));
@@ -259,7 +259,7 @@
         }
     }
 
-    fn wake(&self, turns: Vec<Turn>) {
+    fn wake(&self, turns: Vec<Dequeued>) {
         for it in turns {
             let mut waiting = self.waiting.borrow_mut();
             let found = waiting.iter().position(|w| w.0 == it.ticket);
@@ -281,7 +281,7 @@
     fn drop(&mut self) {
         if let Some(it) = self.ticket {
             self.pool.waiting.borrow_mut().retain(|w| w.0 != it);
-            self.pool.admission.borrow_mut().leave(it);
+            self.pool.admission.borrow_mut().cancel(it);
         }
     }
 }
--- a/crates/pondtrackd/src/keeper.rs
+++ b/crates/pondtrackd/src/keeper.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{gossip, home::Home, node::Node, telemetry::Count},
-    pondtrack_core::{grant, place, retry::Backoff},
+    pondtrack_core::{grant, placement, retry::Backoff},
     pondtrack_edge::{
         PlatformError,
         platform::{Call, Listing, Object},
@@ -90,7 +90,7 @@
 
 /// Whether this instance is one of the few that hold watches.
 fn is_watcher(node: &Node) -> bool {
-    !node.leaving.get() && place::watchers(&node.members.borrow().all()).contains(&node.name)
+    !node.leaving.get() && placement::watchers(&node.members.borrow().all()).contains(&node.name)
 }
 
 /// Watches one kind while this instance is one of the few that do.
--- a/crates/pondtrackd/src/node.rs
+++ b/crates/pondtrackd/src/node.rs
@@ -13,7 +13,7 @@
         classify::Classifier,
         journal::Journal,
         member::{MemberConfig, Members},
-        place,
+        placement,
     },
     pondtrack_edge::{Platform, PlatformError},
     pondtrack_proto::{Decision, FactKey, FactKind, GroupSpec, MemberState, MemberView, Name},
@@ -179,8 +179,8 @@
             return placed[at].clone();
         }
         let members = self.members.borrow().all();
-        let homes = place::homes(spec, &members);
-        let near = place::preferred(&homes, &members, &self.zone);
+        let homes = placement::homes(spec, &members);
+        let near = placement::own_zone_first(&homes, &members, &self.zone);
         let it = Rc::new(Placed { group: spec.name.clone(), homes, near });
         let at = placed.partition_point(|old| old.group < it.group);
         placed.insert(at, it.clone());
--- a/crates/pondtrackd/src/planner.rs
+++ b/crates/pondtrackd/src/planner.rs
@@ -12,7 +12,7 @@
         peers,
     },
     pondtrack_core::{
-        place,
+        placement,
         plan::{self, Outlook, PlanEvent},
     },
     pondtrack_edge::{PlatformError, contract::Order, platform::Object},
@@ -217,7 +217,7 @@
     // An instance does not work on its own stop: its end would end the work.
     let own = |name: &Name| matches!(&it.intent, Intent::Stop { instance } if instance == name);
     let rest = members.iter().filter(|m| !own(&m.name));
-    home.or_else(|| place::winner(&it.name, rest).map(|it| it.name.clone()))
+    home.or_else(|| placement::pick_member(&it.name, rest).map(|it| it.name.clone()))
 }
 
 /// Works on a plan until it ends, or another instance has to.
--- a/crates/testbed/src/lab.rs
+++ b/crates/testbed/src/lab.rs
@@ -12,7 +12,7 @@
     hdrhistogram::Histogram,
     pondtrack_core::{
         Time,
-        turn::{Rank, Share, Turns},
+        scheduler::{Rank, Scheduler, Share},
     },
     rand::{RngExt, SeedableRng},
     rand_distr::{Distribution, Exp, LogNormal},
@@ -313,7 +313,7 @@
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     count: u64,
     requests: Vec<Request>,
-    turns: Vec<Turns<usize>>,
+    turns: Vec<Scheduler<usize>>,
     running: usize,
     queue: VecDeque<usize>,
     outcomes: Vec<Outcome>,
@@ -324,9 +324,9 @@
 impl<'a> Lab<'a> {
     fn new(pattern: &'a Pattern, policy: Policy, seed: u64) -> Lab<'a> {
         let places = if policy == Policy::Shared { 1 } else { pattern.instances };
-        let mut turns: Vec<Turns<usize>> = (0..places).map(|_| Turns::default()).collect();
+        let mut turns: Vec<Scheduler<usize>> = (0..places).map(|_| Scheduler::default()).collect();
         if policy == Policy::Shared {
-            turns[0].set_most(pattern.instances * 2);
+            turns[0].set_max_limit(pattern.instances * 2);
         }
         let mut lab = Lab {
             pattern,
@@ -435,7 +435,7 @@
             share: Share { owner, weight: 1 },
             pinned: request.left < request.statements,
             priority: kind.priority,
-            aim: request.arrived + kind.objective - AT_SERVER,
+            soft_deadline: request.arrived + kind.objective - AT_SERVER,
             kind: request.kind as u64,
             cost: kind.cost,
             statements: request.statements.min(4),
@@ -445,16 +445,16 @@
     fn arrive(&mut self, it: usize) {
         self.requests[it].arrived = self.now;
         let (place, rank, now) = (self.place(it), self.rank(it), self.now);
-        if self.policy.refuses() && self.turns[place].refuses(rank, now) {
+        if self.policy.refuses() && self.turns[place].should_reject(rank, now) {
             return self.refuse(it);
         }
-        if self.turns[place].start() {
+        if self.turns[place].try_start() {
             return self.send(it);
         }
         let limit = self.pattern.kinds[self.requests[it].kind].limit * HOLD_PERCENT / 100;
         self.requests[it].waiting = true;
-        self.turns[place].wait(rank, now, it);
-        let left = rank.aim - now;
+        self.turns[place].enqueue(rank, now, it);
+        let left = rank.soft_deadline - now;
         let limit = if self.policy.refuses() && !rank.pinned { limit.min(left) } else { limit };
         self.at(limit, Event::GiveUp(it, now));
     }
@@ -519,9 +519,9 @@
             Policy::Each | Policy::EachRefuses => kind.objective * SLOW_PERCENT / 100,
         };
         let quick = self.now - self.requests[it].sent <= slow;
-        self.turns[place].end();
-        self.turns[place].learn(quick);
-        while let Some(next) = self.turns[place].next(self.now) {
+        self.turns[place].finish();
+        self.turns[place].adjust_limit(quick);
+        while let Some(next) = self.turns[place].dequeue(self.now) {
             self.send(next);
         }
         self.requests[it].left -= 1;
