--- a/crates/core/benches/ratios.rs
+++ b/crates/core/benches/ratios.rs
@@ -5,7 +5,7 @@
         classify::{Classifier, classify},
         commit_gate::CommitGate,
         member::{MemberConfig, Members},
-        place,
+        placement,
         quota::{Demand, Limiter, Limits, SLOTS, SlotSet},
     },
     pondtrack_proto::{GroupSpec, LogPosition, Lsn, MemberState, MemberView, Name, ServerSpec, Term},
@@ -25,7 +25,7 @@
         ("a known text against a new one", time(|| known.classify(text)) / time(|| classify(text)), 0.2),
         (
             "placing a group among 760 instances against 76",
-            time(|| place::homes(&spec(), &large)) / time(|| place::homes(&spec(), &small)),
+            time(|| placement::homes(&spec(), &large)) / time(|| placement::homes(&spec(), &small)),
             16.0,
         ),
         ("a tick of membership among 760 against 76", ticks(many) / ticks(few), 20.0),
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -171,7 +171,7 @@
         PeerSelection::Uniform => sample(members.to_vec(), FANOUT, rng),
         PeerSelection::Groups => {
             let groups = (members.len() as f64 + 1.0).sqrt().round().max(1.0) as u64;
-            let group = |name: &str| crate::place::weight("group", name) % groups;
+            let group = |name: &str| crate::placement::rendezvous_hash("group", name) % groups;
             let own = group(me);
             let (local, remote): (Vec<&MemberView>, Vec<&MemberView>) =
                 members.iter().partition(|m| group(&m.name) == own);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -27,13 +27,13 @@
 //! | [`classify`] | classification of statements |
 //! | [`route`] | selection of the server for a read |
 //! | [`balance`] | load balancing by the current cost of each server |
-//! | [`place`] | home instances and their shares of connections |
-//! | [`cadence`] | how often instances call the store |
+//! | [`placement`] | home instances and their shares of connections |
+//! | [`intervals`] | how often instances call the store |
 //! | [`capacity`] | capacity of an instance |
-//! | [`admit`] | queues, fairness and learned limits |
+//! | [`admission`] | queues, fairness and learned limits |
 //! | [`budget`] | time budget of a statement before it is sent to a server |
 //! | [`quota`] | usage limits of organisations across all instances |
-//! | [`turn`] | who runs next at a server that has too much to do |
+//! | [`scheduler`] | who runs next at a server that has too much to do |
 //! | [`retry`] | retry budgets and backoff |
 //! | [`retry_after`] | retry times of refused callers |
 //! | [`member`] | membership: probes, suspicion, incarnations |
@@ -44,10 +44,9 @@
 //! Shared: [`state_chart`] (state charts read from files), [`lifecycle`] (state charts of sessions and connections),
 //! [`timer`], [`decision_log`].
 
-pub mod admit;
+pub mod admission;
 pub mod balance;
 pub mod budget;
-pub mod cadence;
 pub mod capacity;
 pub mod classify;
 pub mod commit_gate;
@@ -56,11 +55,12 @@
 pub mod failure_detector;
 pub mod freshness;
 pub mod gossip;
+pub mod intervals;
 pub mod leader;
 pub mod lease;
 pub mod lifecycle;
 pub mod member;
-pub mod place;
+pub mod placement;
 pub mod plan;
 pub mod primary_claim;
 pub mod promotion;
@@ -70,11 +70,11 @@
 pub mod retry;
 pub mod retry_after;
 pub mod route;
+pub mod scheduler;
 pub mod state_chart;
 pub mod term_pool;
 pub mod timer;
 pub mod token;
-pub mod turn;
 
 /// Time in milliseconds of a local monotonic clock.
 pub type Time = u64;
--- a/crates/core/tests/lending.rs
+++ b/crates/core/tests/lending.rs
@@ -6,7 +6,7 @@
 
 use {
     pondtrack_core::{
-        place,
+        placement,
         quota::{
             Demand, Lender, Limiter, Limits, MAX_LOAN_DURATION, MAX_MESSAGE_RATE, MIN_LOAN_DURATION,
             MIN_RENEWAL_INTERVAL, Offer, RenewalScheduler, SLOTS, SlotSet, Timestamp, slot,
@@ -98,7 +98,7 @@
         let names: Vec<Name> = (0..n).map(|n| Name::from(format!("n{n:03}"))).collect();
         let preferences = |slot: usize| {
             let mut all: Vec<usize> = (0..n).collect();
-            all.sort_by_key(|n| Reverse(place::weight(&format!("limit {slot}"), &names[*n])));
+            all.sort_by_key(|n| Reverse(placement::rendezvous_hash(&format!("limit {slot}"), &names[*n])));
             all
         };
         let mut sim = Simulation {
--- a/crates/engine/src/group.rs
+++ b/crates/engine/src/group.rs
@@ -18,7 +18,7 @@
         upstream::Upstream,
     },
     pondtrack_core::{
-        balance::Offer, commit_gate::CommitGate, freshness::Freshness, leader::LeaderRecord,
+        balance::ServerLoad, commit_gate::CommitGate, freshness::Freshness, leader::LeaderRecord,
         primary_claim::PrimaryClaim,
     },
     pondtrack_proto::{LogPosition, Lsn, Name, Term},
@@ -151,12 +151,12 @@
         }
     }
 
-    fn offer(&self, inst: &Instance, it: &Upstream, now: Micros) -> Offer {
-        Offer {
-            expected: it.pace.get().expected(now),
-            load: it.turns.load(),
-            far: it.entry().zone != inst.settings.zone,
-            primary: self.primary.get() == Some(it.index),
+    fn offer(&self, inst: &Instance, it: &Upstream, now: Micros) -> ServerLoad {
+        ServerLoad {
+            expected_latency: it.pace.get().get(now),
+            in_flight: it.turns.load(),
+            is_remote: it.entry().zone != inst.settings.zone,
+            is_primary: self.primary.get() == Some(it.index),
         }
     }
 
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -16,7 +16,7 @@
     pondtrack_core::{
         capacity::Capacity,
         quota::{Demand, Grant, OfferReply, SlotSet, Timestamp},
-        turn::Rank,
+        scheduler::Rank,
     },
     pondtrack_proto::{Incarnation, LogPosition, Name, Revision},
     serde::{Deserialize, Serialize},
--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -25,7 +25,7 @@
         commit_gate::{AckStatus, CommitGate, Ticket},
         failure_detector::{FailureDetector, LastContact},
         freshness::Freshness,
-        place,
+        placement,
         retry::RetryBudget,
         route::Candidate,
         term_pool::TermPool,
@@ -218,7 +218,7 @@
     pub fn configure(&self, node: &Node, spec: Rc<GroupSpec>, version: u64, rank: usize, count: usize) {
         for (it, new) in self.servers.iter().zip(&spec.servers) {
             *it.spec.borrow_mut() = new.clone();
-            let share = place::share(spec.limit, count, rank);
+            let share = placement::connection_share(spec.limit, count, rank);
             it.pool.resize(node, share, new.draining);
         }
         *self.spec.borrow_mut() = spec;
@@ -392,9 +392,9 @@
             Some(Candidate {
                 server: n,
                 zone: spec.zone.clone(),
-                primary: primary == Some(n),
-                open: !spec.draining && view.heard.refused_since.is_none(),
-                heard: view.heard.answered_at,
+                is_primary: primary == Some(n),
+                accepts_work: !spec.draining && view.heard.refused_since.is_none(),
+                last_contact: view.heard.answered_at,
                 term: position.term,
                 received: position.received,
                 applied: position.applied,
