--- a/crates/core/src/commit_gate.rs
+++ b/crates/core/src/commit_gate.rs
@@ -1,98 +1,104 @@
-//! Acknowledgements wait until a majority has received what they stand for.
+//! Quorum acknowledgement: commits are acknowledged once a majority has received them.
 //!
-//! A server counts for a position when it says so in the gate's term, and the last entry of its log was
-//! written in that term and stands at or after the position. Entries of a term come from that term's
-//! primary only, so such a log holds everything before its last entry exactly as the primary does. Any
-//! later promotion fences a majority, which shares a server with the one counted here, and takes the
-//! highest log among it.
+//! A server counts for a position if it reports the gate's term, and the last entry of its log was written in that term and
+//! is at or after the position. Entries of a term come from the term's primary alone, so the log of such a server is
+//! identical to the primary's up to its last entry. Any later promotion fences a majority, which has a server in common with
+//! the majority counted here, and promotes the server with the highest log.
 //!
-//! An entry that a server got from a later term's primary does not count, although it is the same: a
-//! server with a shorter log of a term in between would still win against it. The exhaustive walk in
-//! `testbed` found that.
+//! An entry received from the primary of a later term does not count, although the entry is the same: a server with
+//! a shorter log of a term in between could still be promoted and drop the entry. The exhaustive model check in `testbed`
+//! found that case.
 
 use pondtrack_proto::{Lsn, Mark, Term};
 
-/// Names a held acknowledgement; unique for the life of a gate.
+/// Identifier of a pending acknowledgement, unique within a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What becomes of an acknowledgement.
+/// Status of a requested acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AckStatus {
-    /// It may go out.
+    /// The acknowledgement may be sent.
     Ready,
-    /// It waits under this ticket.
+    /// The acknowledgement is pending under this ticket.
     Pending(Ticket),
-    /// Its term is over; whether it lasts has to be asked of the next primary.
+    /// The term has ended; only the next primary can tell if the commit survived.
     Superseded,
 }
 
-/// The gate of one group.
+/// Pending acknowledgements of one group, and the log positions of its servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CommitGate {
     quorum: usize,
     term: Term,
     logs: Vec<Mark>,
-    held: Vec<(Lsn, Ticket)>,
-    next: u64,
+    /// Pending acknowledgements, sorted by position.
+    waiting: Vec<(Lsn, Ticket)>,
+    next_ticket: u64,
 }
 
 impl CommitGate {
-    /// A gate over `servers` servers, of which `quorum` make a majority.
+    /// Creates a gate for `servers` servers, of which `quorum` make a majority.
     pub fn new(servers: usize, quorum: usize) -> CommitGate {
-        CommitGate { quorum, term: Term(0), logs: vec![Mark::default(); servers], held: Vec::new(), next: 0 }
+        CommitGate {
+            quorum,
+            term: Term(0),
+            logs: vec![Mark::default(); servers],
+            waiting: Vec::new(),
+            next_ticket: 0,
+        }
     }
 
-    /// Makes room for another server of the group.
+    /// Grows the gate to `servers` servers; never shrinks it.
     pub fn grow(&mut self, servers: usize) {
         self.logs.resize(servers.max(self.logs.len()), Mark::default());
     }
 
-    /// A server no longer holds what it showed: it has lost its log, or started again.
+    /// Discards the position of a server that has lost its log or restarted.
     pub fn reset_server(&mut self, server: usize) {
         self.logs[server] = Mark::default();
     }
 
-    /// The term whose commits it lets out.
+    /// Returns the term whose commits are acknowledged.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Acknowledgements held.
+    /// Returns the number of pending acknowledgements.
     pub fn pending(&self) -> usize {
-        self.held.len()
+        self.waiting.len()
     }
 
-    /// Moves to a higher term; hands back the tickets that are now broken.
+    /// Advances to a higher term; returns the tickets that are superseded. Does nothing if `term` isn't higher.
     pub fn begin_term(&mut self, term: Term) -> Vec<Ticket> {
         if term <= self.term {
             return Vec::new();
         }
         self.term = term;
-        self.held.drain(..).map(|it| it.1).collect()
+        self.waiting.drain(..).map(|w| w.1).collect()
     }
 
-    /// A server that knows `term` shows the last entry of its log; hands back the tickets that may go out.
+    /// Records the last entry of the log of a server that reports `term`; returns the tickets that may be acknowledged.
     pub fn observe(&mut self, server: usize, term: Term, last: Mark) -> Vec<Ticket> {
         if term != self.term || last.term != term {
             return Vec::new();
         }
-        // Answers on several connections overtake each other; within a term a log only grows.
+        // Responses on several connections may arrive out of order; within a term a log only grows.
         self.logs[server] = self.logs[server].max(last);
-        let durable = self.commit_lsn();
-        let n = self.held.partition_point(|it| it.0 <= durable);
-        self.held.drain(..n).map(|it| it.1).collect()
+        let committed = self.commit_lsn();
+        let n = self.waiting.partition_point(|w| w.0 <= committed);
+        self.waiting.drain(..n).map(|w| w.1).collect()
     }
 
-    /// The highest position of the term that a majority holds; 0 when there is none.
+    /// Returns the highest position of the term that a majority has received; 0 if there is none.
     pub fn commit_lsn(&self) -> Lsn {
         let mut in_term: Vec<Lsn> =
-            self.logs.iter().filter(|it| it.term == self.term).map(|it| it.lsn).collect();
+            self.logs.iter().filter(|log| log.term == self.term).map(|log| log.lsn).collect();
         in_term.sort_unstable_by(|a, b| b.cmp(a));
         in_term.get(self.quorum - 1).copied().unwrap_or_default()
     }
 
-    /// Asks to acknowledge what the primary of `term` wrote up to `lsn`.
+    /// Requests the acknowledgement of a commit that the primary of `term` wrote at `lsn`.
     pub fn request_ack(&mut self, term: Term, lsn: Lsn) -> AckStatus {
         if term < self.term {
             return AckStatus::Superseded;
@@ -100,15 +106,15 @@
         if term == self.term && lsn <= self.commit_lsn() && lsn > Lsn(0) {
             return AckStatus::Ready;
         }
-        let ticket = Ticket(self.next);
-        self.next += 1;
-        let at = self.held.partition_point(|it| it.0 <= lsn);
-        self.held.insert(at, (lsn, ticket));
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
+        let at = self.waiting.partition_point(|w| w.0 <= lsn);
+        self.waiting.insert(at, (lsn, ticket));
         AckStatus::Pending(ticket)
     }
 
-    /// Forgets an acknowledgement nobody waits for any longer.
+    /// Removes a pending acknowledgement whose caller has stopped waiting.
     pub fn cancel(&mut self, ticket: Ticket) {
-        self.held.retain(|it| it.1 != ticket);
+        self.waiting.retain(|w| w.1 != ticket);
     }
 }
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/failure_detector.rs
@@ -1,7 +1,7 @@
-//! When a primary is given up.
+//! Failure detection for primaries.
 //!
-//! The verdict only starts a change of primary; that the change loses nothing is the business of
-//! [`crate::promotion`] and [`crate::commit_gate`]. So the times here trade the gap against needless changes.
+//! A verdict only starts a failover. [`crate::promotion`] and [`crate::commit_gate`] ensure that the failover loses nothing,
+//! so the timeouts here only trade downtime against needless failovers.
 
 use {
     crate::Time,
@@ -9,18 +9,18 @@
     strum::{Display, IntoStaticStr},
 };
 
-/// Times of the detector, in milliseconds.
+/// Timeouts of the detector, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DetectorConfig {
-    /// Silence after which a primary is given up.
+    /// Time without a response after which a primary is considered failed.
     pub silence_timeout: u64,
-    /// The same when its address refuses connections: the process is gone.
+    /// The same while its address refuses connections, which means that the process has ended.
     pub refused_timeout: u64,
-    /// Time for which commits may wait for replicas that don't advance.
+    /// Time for which commits may wait without progress of any replica.
     pub stall_timeout: u64,
-    /// Extra patience per rank among the homes.
+    /// Additional delay per rank among the homes.
     pub rank_delay: u64,
-    /// A gap between two looks after which this instance was paused itself.
+    /// Time between two polls above which this instance itself was paused.
     pub pause_threshold: u64,
 }
 
@@ -36,70 +36,71 @@
     }
 }
 
-/// What a home knows of a server.
+/// A home's last contact with a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LastContact {
-    /// When it last answered.
+    /// Time of the last response.
     pub answered_at: Option<Time>,
-    /// Since when its address refuses connections.
+    /// Time since which its address has refused connections.
     pub refused_since: Option<Time>,
 }
 
-/// Why a primary is given up.
+/// Cause of a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Cause {
-    /// It doesn't answer.
+    /// The primary doesn't respond.
     Silent,
-    /// Its address refuses connections.
+    /// The primary's address refuses connections.
     Refused,
-    /// It answers, but its replicas don't receive what it writes.
+    /// The primary responds, but its replicas don't receive its writes.
     Stalled,
-    /// No server of the group is a primary.
+    /// No server of the group is the primary.
     Absent,
-    /// A server knows a higher term than the primary, as after a change that failed, and can't rejoin.
+    /// A server has a higher term than the primary, as after a failed failover, and can't rejoin.
     Stranded,
 }
 
-/// What another home says of a primary.
+/// Another home's report about a primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opinion {
     /// The home.
     pub from: Name,
-    /// The term of the primary that it heard just now.
+    /// The term of the primary that the home currently reaches; none if it reaches none.
     pub term: Option<Term>,
-    /// Whether its own commits wait for replicas.
+    /// True if the home's own commits wait for replicas.
     pub stalled: bool,
 }
 
-/// The detector of one group at one home.
+/// Failure detector for one group at one home.
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
     config: DetectorConfig,
-    looked: Option<Time>,
+    last_poll: Option<Time>,
+    /// Start of the evidence: the detector's creation, or the end of the last pause of this instance.
     since: Time,
 }
 
 impl FailureDetector {
-    /// A detector that has no evidence yet.
+    /// Creates a detector without evidence.
     pub fn new(config: DetectorConfig, now: Time) -> FailureDetector {
-        FailureDetector { config, looked: None, since: now }
+        FailureDetector { config, last_poll: None, since: now }
     }
 
-    /// Takes a look; hands back whether evidence is to be thrown away, as this instance was paused.
+    /// Records a poll. Returns true if this instance was paused since the last one, so that its evidence must be discarded.
     pub fn poll(&mut self, now: Time) -> bool {
-        let paused = self.looked.is_some_and(|it| now.saturating_sub(it) > self.config.pause_threshold);
-        self.looked = Some(now);
+        let paused = self.last_poll.is_some_and(|at| now.saturating_sub(at) > self.config.pause_threshold);
+        self.last_poll = Some(now);
         if paused {
             self.since = now;
         }
         paused
     }
 
-    /// Whether a primary is to be given up by the home of this `rank`.
+    /// Returns the cause if the home of this `rank` considers the primary failed.
     ///
-    /// `absent` is the time since which no server is a primary, and `stalled` that since which commits
-    /// wait at the gate without any progress.
+    /// `absent` is the time since which no server has been the primary, and `stalled` the time since which commits have
+    /// waited at the gate without progress.
     pub fn evaluate(
         &self,
         now: Time,
@@ -108,31 +109,35 @@
         absent: Option<Time>,
         stalled: Option<Time>,
     ) -> Option<Cause> {
-        let extra = rank as u64 * self.config.rank_delay;
-        let over = |from: Time, limit: u64| now.saturating_sub(from.max(self.since)) >= limit + extra;
+        let delay = rank as u64 * self.config.rank_delay;
+        let elapsed = |from: Time, limit: u64| now.saturating_sub(from.max(self.since)) >= limit + delay;
         match primary {
-            None => absent.is_some_and(|at| over(at, self.config.silence_timeout)).then_some(Cause::Absent),
-            Some(it) if it.refused_since.is_some_and(|at| over(at, self.config.refused_timeout)) => {
+            None => {
+                absent.is_some_and(|at| elapsed(at, self.config.silence_timeout)).then_some(Cause::Absent)
+            }
+            Some(c) if c.refused_since.is_some_and(|at| elapsed(at, self.config.refused_timeout)) => {
                 Some(Cause::Refused)
             }
-            Some(it) if over(it.answered_at.unwrap_or(self.since), self.config.silence_timeout) => {
+            Some(c) if elapsed(c.answered_at.unwrap_or(self.since), self.config.silence_timeout) => {
                 Some(Cause::Silent)
             }
-            Some(_) if stalled.is_some_and(|at| over(at, self.config.stall_timeout)) => Some(Cause::Stalled),
+            Some(_) if stalled.is_some_and(|at| elapsed(at, self.config.stall_timeout)) => {
+                Some(Cause::Stalled)
+            }
             Some(_) => None,
         }
     }
 
-    /// Whether another home's opinion speaks against the verdict on the primary of `term`; of a stranded
-    /// server it is that server's term.
+    /// Returns true if another home's report vetoes a failover from the primary of `term`; for [`Cause::Stranded`], `term` is
+    /// the stranded server's.
     ///
-    /// One that hears a primary of that term or a later one does, unless its own commits wait for replicas;
-    /// a stall is seen by whoever writes, so there only a later primary counts.
+    /// A home that reaches a primary of that term or a later one vetoes the failover, unless its own commits wait for
+    /// replicas. A stall is only noticed by homes that write, so against a stall only a primary of a later term counts.
     pub fn is_vetoed(&self, cause: Cause, term: Term, opinions: &[Opinion]) -> bool {
-        let hears = |it: &Opinion| match cause {
-            Cause::Stalled => it.term > Some(term),
-            Cause::Silent | Cause::Refused | Cause::Absent | Cause::Stranded => it.term >= Some(term),
+        let reaches = |opinion: &Opinion| match cause {
+            Cause::Stalled => opinion.term > Some(term),
+            Cause::Silent | Cause::Refused | Cause::Absent | Cause::Stranded => opinion.term >= Some(term),
         };
-        opinions.iter().any(|it| hears(it) && !it.stalled)
+        opinions.iter().any(|opinion| reaches(opinion) && !opinion.stalled)
     }
 }
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -1,9 +1,9 @@
-//! How old a replica's answer is.
+//! Staleness of replica reads.
 //!
-//! An answer of the primary to a question sent at time *s* shows a position *p*: everything acknowledged
-//! before *s* stands at or before *p*. A replica that has applied *p* is therefore as fresh as *s*, if
-//! the primary was still the primary then, which a majority confirms by naming the same term in answers
-//! to questions sent at *s* or later. Only this instance's monotonic clock is used; its unit is the owner's.
+//! If the primary's response to a query sent at time *s* shows position *p*, then everything acknowledged before *s* is at
+//! or before *p*. A replica that has applied *p* is therefore complete as of *s*, provided that the primary was still the
+//! primary then. A majority confirms that by reporting the same term in responses to queries sent at *s* or later. Only this
+//! instance's monotonic clock is used; the caller chooses its unit.
 
 use {
     crate::Time,
@@ -11,108 +11,112 @@
     std::collections::VecDeque,
 };
 
-/// Observations kept; at one every 50 ms they reach back about a minute.
-const KEPT: usize = 1_200;
+/// Maximum number of observations kept; at one every 50 ms they cover about a minute.
+const MAX_OBSERVATIONS: usize = 1_200;
 
-/// How old an account that was asked for at `asked` is for whoever asked for it at `came`, on the clock of the one that tells
-/// it.
-pub fn age(came: Time, asked: Time) -> Time {
-    came.saturating_sub(asked)
+/// Returns the age of a status report for a request that arrived at `arrived`; the report's query was sent at `asked`. Both
+/// times are of the reporting instance's clock.
+pub fn age(arrived: Time, asked: Time) -> Time {
+    arrived.saturating_sub(asked)
 }
 
-/// When an account of this age was asked for, or later, on the clock of the one that asked for it at `sent`: the question
-/// was sent before it came. None for a time before that clock began.
+/// Returns a lower bound of the time at which the query of a status report of this age was sent, on the clock of the
+/// instance that requested the report at `sent`: the request was sent before it arrived at the reporting instance. None if
+/// the time lies before that clock's start.
 pub fn asked_at(sent: Time, age: Time) -> Option<Time> {
     sent.checked_sub(age).filter(|at| *at > 0)
 }
 
-/// The evidence of one group's freshness.
+/// Evidence of the freshness of one group's servers.
 #[derive(Clone, Debug)]
 pub struct Freshness {
     quorum: usize,
     term: Term,
-    seen: VecDeque<(Time, Mark)>,
+    /// Positions of the primary by the time of the query, in that order.
+    positions: VecDeque<(Time, Mark)>,
+    /// Time of the last query in whose response each server reported the term.
     confirmed: Vec<Option<Time>>,
 }
 
 impl Freshness {
-    /// No evidence yet.
+    /// Creates the state without evidence.
     pub fn new(servers: usize, quorum: usize) -> Freshness {
-        Freshness { quorum, term: Term(0), seen: VecDeque::new(), confirmed: vec![None; servers] }
+        Freshness { quorum, term: Term(0), positions: VecDeque::new(), confirmed: vec![None; servers] }
     }
 
-    /// A later term has begun: what was known of earlier ones no longer counts.
+    /// Advances to a later term and discards the evidence of earlier ones. Does nothing if `term` isn't later.
     pub fn begin_term(&mut self, term: Term) {
         if term > self.term {
             self.term = term;
             self.confirmed.fill(None);
-            self.seen.clear();
+            self.positions.clear();
         }
     }
 
-    /// A server named `term` in the answer to a question sent at `sent`.
+    /// Records that a server reported `term` in the response to a query sent at `sent`.
     pub fn confirm(&mut self, server: usize, term: Term, sent: Time) {
         self.begin_term(term);
         if term == self.term {
-            let it = &mut self.confirmed[server];
-            *it = Some(it.map_or(sent, |old| old.max(sent)));
+            let confirmed = &mut self.confirmed[server];
+            *confirmed = Some(confirmed.map_or(sent, |old| old.max(sent)));
         }
     }
 
-    /// Makes room for another server of the group.
+    /// Grows the state to `servers` servers; never shrinks it.
     pub fn grow(&mut self, servers: usize) {
         self.confirmed.resize(servers.max(self.confirmed.len()), None);
     }
 
-    /// A server's word no longer counts: it has lost its log, or started again.
+    /// Discards the confirmation of a server that has lost its log or restarted.
     pub fn reset_server(&mut self, server: usize) {
         self.confirmed[server] = None;
     }
 
-    /// What the primary showed no longer counts: it has lost its log, or another one leads the term.
+    /// Discards the primary's positions after it has lost its log or another server has become the term's primary.
     pub fn reset_primary(&mut self) {
-        self.seen.clear();
+        self.positions.clear();
     }
 
-    /// The primary of `term` showed the position `at` in the answer to a question sent at `sent`.
+    /// Records that the primary of `term` was at position `at` in the response to a query sent at `sent`.
     pub fn observe(&mut self, term: Term, at: Mark, sent: Time) {
-        if term != self.term || self.seen.back().is_some_and(|it| it.0 > sent) {
+        if term != self.term || self.positions.back().is_some_and(|p| p.0 > sent) {
             return;
         }
-        match self.seen.back_mut() {
-            // The same position seen later makes what holds it fresher.
-            Some(it) if it.1 == at => it.0 = sent,
-            _ => self.seen.push_back((sent, at)),
+        match self.positions.back_mut() {
+            // The same position in a later response makes the servers that hold it fresher.
+            Some(last) if last.1 == at => last.0 = sent,
+            _ => self.positions.push_back((sent, at)),
         }
-        if self.seen.len() > KEPT {
-            self.seen.pop_front();
+        if self.positions.len() > MAX_OBSERVATIONS {
+            self.positions.pop_front();
         }
     }
 
-    /// The time as of which a server of `term` that has applied `applied` is complete.
+    /// Returns the time as of which a server of `term` that has applied `applied` is complete; none if that isn't known.
     pub fn as_of(&self, term: Term, applied: Lsn) -> Option<Time> {
         if term != self.term {
             return None;
         }
         let confirmed = self.confirmed_at()?;
-        let n = self.seen.partition_point(|it| it.1.lsn <= applied);
-        let usable = self.seen.iter().take(n).rev();
-        usable.map(|it| it.0).find(|at| *at <= confirmed)
+        let n = self.positions.partition_point(|p| p.1.lsn <= applied);
+        let usable = self.positions.iter().take(n).rev();
+        usable.map(|p| p.0).find(|at| *at <= confirmed)
     }
 
-    /// The lowest position that holds everything acknowledged before `since`, and when it was asked for.
+    /// Returns the lowest known position that includes everything acknowledged before `since`, with the time of its query;
+    /// none if there is none that a majority has confirmed.
     pub fn required_position(&self, since: Time) -> Option<(Time, Mark)> {
         let confirmed = self.confirmed_at()?;
-        let n = self.seen.partition_point(|it| it.0 < since);
-        self.seen.get(n).filter(|it| it.0 <= confirmed).copied()
+        let n = self.positions.partition_point(|p| p.0 < since);
+        self.positions.get(n).filter(|p| p.0 <= confirmed).copied()
     }
 
-    /// When the primary was last asked for its position, as far as it has answered.
+    /// Returns the time of the last query for the primary's position that was answered.
     pub fn observed_at(&self) -> Option<Time> {
-        self.seen.back().map(|it| it.0)
+        self.positions.back().map(|p| p.0)
     }
 
-    /// The latest time at or after which a majority is known to have held the term.
+    /// Returns the latest time at or after which a majority is known to have been in the term.
     pub fn confirmed_at(&self) -> Option<Time> {
         let mut times: Vec<Time> = self.confirmed.iter().flatten().copied().collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,15 +8,15 @@
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`commit_gate`] | acknowledgements wait for a majority |
-//! | [`promotion`] | fencing a majority and promoting one server |
-//! | [`term_pool`] | terms taken ahead of need |
-//! | [`leader`] | who leads a term whose primary gives no answer |
-//! | [`lease`] | which instance may give orders |
-//! | [`primary_claim`] | whether a primary holds what its replicas have received |
-//! | [`recovery`] | what a server counts for that came back with nothing |
-//! | [`failure_detector`] | when a primary is given up |
-//! | [`freshness`] | how old a replica's answer is |
+//! | [`commit_gate`] | acknowledgement of commits by a majority |
+//! | [`promotion`] | fencing of a majority and promotion of a server |
+//! | [`term_pool`] | pre-allocated terms |
+//! | [`leader`] | the leader of a term while its primary is unreachable |
+//! | [`lease`] | the lease of the instance that may order promotions |
+//! | [`primary_claim`] | detection of a primary that has lost its log |
+//! | [`recovery`] | quorum eligibility of a restarted server |
+//! | [`failure_detector`] | failure detection for primaries |
+//! | [`freshness`] | staleness of replica reads |
 //! | [`request_key`] | keys of requests that run once at most |
 //! | [`token`] | what a session carries between instances |
 //!
@@ -36,12 +36,12 @@
 //! | [`turn`] | who runs next at a server that has too much to do |
 //! | [`retry`] | budgets and backoff |
 //! | [`retry_after`] | when callers that were refused may come back |
-//! | [`member`] | probes, suspicion, incarnations |
+//! | [`member`] | gossip membership: probes, suspicion, incarnations |
 //! | [`delta`] | what changed in a collection since a version |
 //! | [`spread`] | versioned facts, pushes and digests |
-//! | [`plan`] | from an intent to steps |
+//! | [`plan`] | plans: an operator's intent as steps |
 //!
-//! What they share: [`state_chart`] (state charts read from files), [`lifecycle`] (those of sessions and connections),
+//! Shared: [`state_chart`] (state charts read from files), [`lifecycle`] (those of sessions and connections),
 //! [`timer`], [`journal`].
 
 pub mod admit;
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lives of a caller's session and of an upstream connection, as charts.
+//! State charts of client sessions and upstream connections.
 
 use {
     crate::state_chart::StateChart,
@@ -6,87 +6,87 @@
     strum::{Display, EnumIter, EnumString, IntoStaticStr},
 };
 
-/// The states of a caller's session; the chart is `charts/session.toml`.
+/// States of a client session, as in `charts/session.toml`.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum SessionState {
-    /// Between transactions.
+    /// No transaction is open.
     Idle,
-    /// Inside a transaction.
+    /// A transaction is open.
     Open,
-    /// Inside a failed transaction, also one whose server was lost.
+    /// The transaction has failed, or its server was lost.
     Failed,
-    /// Over.
+    /// The session has ended.
     Ended,
 }
 
-/// What can happen to a caller's session.
+/// Events of a client session.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum SessionEvent {
-    /// An answer came; no transaction is open.
+    /// A response arrived and no transaction is open.
     Settled,
-    /// An answer came; a transaction is open.
+    /// A response arrived and a transaction is open.
     Opened,
-    /// An answer came; the transaction has failed.
+    /// A response arrived and the transaction has failed.
     #[strum(serialize = "broke")]
     Failed,
-    /// The instance leaves.
+    /// The instance is leaving.
     Leave,
-    /// The caller is gone, or a fatal error was answered.
+    /// The client has disconnected, or a fatal error was sent.
     End,
 }
 
-/// The states of an upstream connection; the chart is `charts/connection.toml`.
+/// States of an upstream connection, as in `charts/connection.toml`.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum ConnState {
-    /// Clean and free.
+    /// Idle in the pool, without session state.
     Free,
-    /// Runs a batch.
+    /// Running a batch.
     Busy,
-    /// Belongs to a transaction, between batches.
+    /// Pinned to an open transaction, between batches.
     Pinned,
     /// Closed.
     Closed,
 }
 
-/// What can happen to an upstream connection.
+/// Events of an upstream connection.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum ConnEvent {
-    /// Lent to a batch.
+    /// The connection was checked out for a batch.
     Lend,
-    /// The batch ended outside a transaction.
+    /// The batch ended with no transaction open.
     Clean,
-    /// The batch ended inside a transaction.
+    /// The batch ended with a transaction open.
     Pin,
-    /// Its server, its caller or its instance let it go.
+    /// The connection was dropped by the server, the client or the instance.
     Drop,
 }
 
 static SESSION: LazyLock<StateChart<SessionState, SessionEvent>> = LazyLock::new(|| {
-    StateChart::parse(include_str!("../charts/session.toml")).expect("the chart is checked by a test")
+    StateChart::parse(include_str!("../charts/session.toml")).expect("a test parses the chart")
 });
 
 static CONNECTION: LazyLock<StateChart<ConnState, ConnEvent>> = LazyLock::new(|| {
-    StateChart::parse(include_str!("../charts/connection.toml")).expect("the chart is checked by a test")
+    StateChart::parse(include_str!("../charts/connection.toml")).expect("a test parses the chart")
 });
 
-/// The chart of a caller's session.
+/// Returns the state chart of a client session.
 pub fn session_chart() -> &'static StateChart<SessionState, SessionEvent> {
     &SESSION
 }
 
-/// The chart of an upstream connection.
+/// Returns the state chart of an upstream connection.
 pub fn connection_chart() -> &'static StateChart<ConnState, ConnEvent> {
     &CONNECTION
 }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,9 +1,9 @@
-//! Probes, suspicion and incarnations.
+//! Gossip membership with SWIM: probes, suspicion and incarnations.
 //!
-//! Each interval an instance probes one other, whatever the fleet's size. A missed probe is repeated
-//! through others, in other availability zones where there are some; then the member is suspect and may
-//! refute that with a higher incarnation before it is held for dead. Changes travel with the probes. The
-//! platform's list only brings in members not known yet.
+//! In each interval an instance probes one other instance, regardless of the fleet's size. After a missed probe, other
+//! members probe the target, preferably from other availability zones. If these probes fail too, the member is suspected,
+//! and may refute the suspicion with a higher incarnation before it is considered dead. Updates are piggybacked on
+//! the probes. The platform's list is only used to find members that aren't known yet.
 
 use {
     crate::{
@@ -18,24 +18,24 @@
     strum::{Display, EnumIter, EnumString, IntoStaticStr},
 };
 
-/// Times and sizes of membership; times in milliseconds.
+/// Membership settings; times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberConfig {
-    /// Between two probes.
+    /// Time between two probes.
     pub probe_interval: u64,
-    /// Until a direct probe counts as missed.
+    /// Timeout of a direct probe.
     pub direct_timeout: u64,
-    /// Until the probes through others count as missed.
+    /// Timeout of the indirect probes.
     pub indirect_timeout: u64,
-    /// Others asked to probe.
+    /// Number of members asked to probe a target indirectly.
     pub indirect_probes: usize,
-    /// Until a suspect is held for dead.
+    /// Time after which a suspect is considered dead.
     pub suspicion_timeout: u64,
-    /// Between two looks at a member held for dead, which may only have been cut off.
+    /// Time between two probes of dead members, which may only have been partitioned.
     pub dead_interval: u64,
-    /// Least time between two requests for the whole list of members.
+    /// Minimum time between two requests for the full member list.
     pub sync_interval: u64,
-    /// How peers for a push are chosen.
+    /// Selection of the peers for a push.
     pub peer_choice: Choice,
 }
 
@@ -54,33 +54,33 @@
     }
 }
 
-/// Changes put into one datagram.
-const NEWS: usize = 6;
-/// Members put into one answer to a request for the list.
-const LIST: usize = 20;
-/// Members held for dead that are remembered.
-const DEAD_KEPT: usize = 1_000;
+/// Maximum number of piggybacked updates in one datagram.
+const MAX_UPDATES: usize = 6;
+/// Number of members in one datagram of the member list.
+const LIST_CHUNK: usize = 20;
+/// Number of known members from which on an unknown member that is reported dead isn't added.
+const DEAD_LIMIT: usize = 1_000;
 
-/// What can happen to a member.
+/// Events of a member.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum MemberEvent {
-    /// It missed its probes.
+    /// The member missed its probes.
     Missed,
-    /// It didn't refute in time.
+    /// The suspicion wasn't refuted in time.
     Expired,
-    /// It answers with a higher incarnation.
+    /// The member responded with a higher incarnation.
     Refuted,
-    /// It says that it leaves.
+    /// The member announced that it is leaving.
     Leaves,
-    /// Others hold it for dead.
+    /// Other members consider the member dead.
     #[strum(serialize = "buried")]
     DeclaredDead,
 }
 
-/// States of [`MemberState`] as the chart names them.
+/// Mirror of [`MemberState`] with the names used in the chart.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
@@ -90,40 +90,40 @@
     Alive,
     /// Missed its probes.
     Suspect,
-    /// Takes no new work.
+    /// Accepts no new work.
     Leaving,
-    /// Held for dead.
+    /// Considered dead.
     Dead,
 }
 
 static CHART: LazyLock<StateChart<MemberPhase, MemberEvent>> = LazyLock::new(|| {
-    StateChart::parse(include_str!("../charts/member.toml")).expect("the chart is checked by a test")
+    StateChart::parse(include_str!("../charts/member.toml")).expect("a test parses the chart")
 });
 
-/// The chart of a member's life.
+/// Returns the state chart of a member.
 pub fn chart() -> &'static StateChart<MemberPhase, MemberEvent> {
     &CHART
 }
 
-/// A change that others act upon.
+/// State change of a member, for the caller to act upon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The member.
     pub name: Name,
-    /// Its state before; none when it was unknown.
+    /// The previous state; none if the member was unknown.
     pub before: Option<MemberState>,
-    /// Its state now.
+    /// The new state.
     pub after: MemberState,
 }
 
-/// What came of a tick or a datagram.
+/// Result of a tick, a datagram or a local change.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Output {
     /// Datagrams to send.
     pub send: Vec<(SocketAddr, Datagram)>,
-    /// Members that changed.
+    /// State changes of members.
     pub changes: Vec<Change>,
-    /// Facts that are news here.
+    /// Facts that are newer than those known here.
     pub facts: Vec<Fact>,
 }
 
@@ -138,160 +138,163 @@
     seq: u64,
     target: Name,
     stage: Stage,
-    until: Time,
+    deadline: Time,
 }
 
-/// A ping passed on for another member.
+/// A ping sent on behalf of another member.
 #[derive(Clone, Debug)]
-struct Errand {
+struct RelayedPing {
     seq: u64,
     origin: SocketAddr,
-    asked: u64,
-    until: Time,
+    origin_seq: u64,
+    deadline: Time,
 }
 
 #[derive(Clone, Debug)]
-struct News {
+/// A member's state to be piggybacked on the next `remaining` datagrams.
+struct Update {
     view: MemberView,
-    left: u32,
+    remaining: u32,
 }
 
-/// Membership as one instance sees it, with the facts it spreads.
+/// Membership as seen by one instance, with the facts that the instance spreads.
 #[derive(Clone, Debug)]
 pub struct Members {
-    /// The instance itself.
+    /// The local instance.
     pub local: MemberView,
-    /// Its facts.
+    /// The facts known to the instance.
     pub facts: Spread,
     config: MemberConfig,
     list: Vec<MemberView>,
+    /// Suspects and the ends of their suspicion periods.
     suspects: Vec<(Name, Time)>,
-    order: Vec<Name>,
+    /// Members still to be probed in this round, the next one last.
+    probe_order: Vec<Name>,
     probes: Vec<Probe>,
-    errands: Vec<Errand>,
-    news: Vec<News>,
+    relayed: Vec<RelayedPing>,
+    updates: Vec<Update>,
     seeds: Vec<SocketAddr>,
     rng: Pcg64Mcg,
     seq: u64,
-    ticked: Option<Time>,
-    probed: Time,
-    revived: Time,
-    refreshed: Time,
-    compared: Time,
+    last_tick: Option<Time>,
+    last_probe: Time,
+    last_dead_probe: Time,
+    last_sync: Time,
+    last_compare: Time,
 }
 
 impl Members {
-    /// Begins alone; `seeds` are addresses to join through.
-    pub fn new(me: MemberView, seeds: Vec<SocketAddr>, config: MemberConfig, seed: u64) -> Members {
+    /// Creates the membership of an instance that knows no other member; `seeds` are addresses to join through.
+    pub fn new(local: MemberView, seeds: Vec<SocketAddr>, config: MemberConfig, seed: u64) -> Members {
         Members {
-            local: me,
+            local,
             facts: Spread::default(),
             config,
             list: Vec::new(),
             suspects: Vec::new(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probes: Vec::new(),
-            errands: Vec::new(),
-            news: Vec::new(),
+            relayed: Vec::new(),
+            updates: Vec::new(),
             seeds,
             rng: Pcg64Mcg::seed_from_u64(seed),
             seq: 0,
-            ticked: None,
-            probed: 0,
-            revived: 0,
-            refreshed: 0,
-            compared: 0,
+            last_tick: None,
+            last_probe: 0,
+            last_dead_probe: 0,
+            last_sync: 0,
+            last_compare: 0,
         }
     }
 
-    /// The other members, sorted by name, also those held for dead.
+    /// Returns the other members, sorted by name, including those considered dead.
     pub fn others(&self) -> &[MemberView] {
         &self.list
     }
 
-    /// All that take part, this instance among them, sorted by name.
+    /// Returns all members that aren't considered dead, including this instance, sorted by name.
     pub fn active(&self) -> Vec<MemberView> {
         let mut out: Vec<MemberView> =
-            self.list.iter().filter(|it| it.state != MemberState::Dead).cloned().collect();
-        let at = out.partition_point(|it| it.name < self.local.name);
+            self.list.iter().filter(|m| m.state != MemberState::Dead).cloned().collect();
+        let at = out.partition_point(|m| m.name < self.local.name);
         out.insert(at, self.local.clone());
         out
     }
 
-    /// A member by name.
+    /// Returns a member by name.
     pub fn get(&self, name: &str) -> Option<&MemberView> {
         if self.local.name == name {
             return Some(&self.local);
         }
-        self.list.binary_search_by(|it| it.name.as_str().cmp(name)).ok().map(|at| &self.list[at])
+        self.list.binary_search_by(|m| m.name.as_str().cmp(name)).ok().map(|at| &self.list[at])
     }
 
-    /// Adds addresses to join through, as from the platform's list; known members are left alone.
+    /// Adds addresses to join through, such as those of the platform's list; ignores the addresses of known members.
     pub fn add_seeds(&mut self, addrs: impl IntoIterator<Item = SocketAddr>) {
-        for it in addrs {
-            let known = it == self.local.addr
-                || self.list.iter().any(|m| m.addr == it && m.state != MemberState::Dead);
-            if !known && !self.seeds.contains(&it) {
-                self.seeds.push(it);
+        for addr in addrs {
+            let known = addr == self.local.addr
+                || self.list.iter().any(|m| m.addr == addr && m.state != MemberState::Dead);
+            if !known && !self.seeds.contains(&addr) {
+                self.seeds.push(addr);
             }
         }
     }
 
-    /// Says that this instance leaves.
+    /// Announces that this instance is leaving.
     pub fn leave(&mut self) -> Output {
         self.local.incarnation += 1;
         self.local.state = MemberState::Leaving;
-        let me = self.local.clone();
-        self.tell(me);
+        let local = self.local.clone();
+        self.queue_update(local);
         let mut out = Output::default();
-        self.push_news(&mut out);
+        self.push_updates(&mut out);
         out
     }
 
-    /// Takes a fact that this instance learned elsewhere, and pushes it if it is news.
+    /// Stores a fact from another source than gossip, and pushes the fact to peers if it is newer than the known one.
     pub fn publish(&mut self, fact: Fact) -> Output {
         let mut out = Output::default();
         if self.facts.accept(fact.clone()) {
-            self.push(std::slice::from_ref(&fact), None, &mut out);
+            self.push_facts(std::slice::from_ref(&fact), None, &mut out);
             out.facts.push(fact);
         }
         out
     }
 
-    /// A connection to a member broke: it is probed next.
+    /// Makes a member the next to be probed, for example after a connection to the member broke.
     pub fn probe_next(&mut self, name: &Name) {
-        self.order.retain(|it| it != name);
-        self.order.push(name.clone());
+        self.probe_order.retain(|n| n != name);
+        self.probe_order.push(name.clone());
     }
 
-    /// Does what is due; to be called a few times per interval.
+    /// Runs the work that is due; must be called a few times per probe interval.
     pub fn tick(&mut self, now: Time) -> Output {
         let mut out = Output::default();
-        let gap = self.ticked.map_or(0, |it| now.saturating_sub(it));
-        self.ticked = Some(now);
+        let gap = self.last_tick.map_or(0, |at| now.saturating_sub(at));
+        self.last_tick = Some(now);
         if gap > self.config.probe_interval {
-            self.forgive(now);
+            self.reset_timers(now);
         }
         self.expire_probes(now, &mut out);
         self.expire_suspects(now, &mut out);
-        self.errands.retain(|it| it.until > now);
+        self.relayed.retain(|ping| ping.deadline > now);
         if !out.changes.is_empty() {
-            self.push_news(&mut out);
+            self.push_updates(&mut out);
         }
-        if now >= self.probed + self.config.probe_interval {
-            self.probed = now;
-            self.probe(now, &mut out);
-            self.join(&mut out);
+        if now >= self.last_probe + self.config.probe_interval {
+            self.last_probe = now;
+            self.send_probe(now, &mut out);
+            self.send_joins(&mut out);
         }
-        if now >= self.revived + self.config.dead_interval {
-            self.revived = now;
-            self.revive(&mut out);
+        if now >= self.last_dead_probe + self.config.dead_interval {
+            self.last_dead_probe = now;
+            self.probe_dead(&mut out);
         }
-        self.refresh(now, &mut out);
+        self.request_members(now, &mut out);
         out
     }
 
-    /// Takes a datagram.
+    /// Handles a datagram.
     pub fn receive(&mut self, now: Time, gram: Datagram) -> Output {
         let mut out = Output::default();
         let Datagram { from, facts, news, body } = gram;
@@ -301,13 +304,13 @@
         let addr = from.addr;
         let sender = from.name.clone();
         self.merge(now, from, &mut out);
-        for it in news {
-            self.merge(now, it, &mut out);
+        for view in news {
+            self.merge(now, view, &mut out);
         }
-        self.seeds.retain(|it| *it != addr);
-        if out.changes.iter().any(|it| matches!(it.after, MemberState::Leaving | MemberState::Dead)) {
-            // Groups are waiting to move: such news don't wait for the next probe.
-            self.push_news(&mut out);
+        self.seeds.retain(|seed| *seed != addr);
+        if out.changes.iter().any(|change| matches!(change.after, MemberState::Leaving | MemberState::Dead)) {
+            // Groups must move to other homes, so such changes are sent immediately, not with the next probe.
+            self.push_updates(&mut out);
         }
         let probe = matches!(body, Payload::Ping { .. } | Payload::Ack { .. });
         match body {
@@ -315,97 +318,98 @@
                 let about = self.local.name.clone();
                 self.send(addr, Payload::Ack { seq, about }, &mut out);
             }
-            Payload::Ack { seq, about } => self.acked(seq, about, &mut out),
+            Payload::Ack { seq, about } => self.on_ack(seq, about, &mut out),
             Payload::PingFor { seq, addr: to, .. } => {
                 self.seq += 1;
-                let until = now + self.config.direct_timeout + self.config.indirect_timeout;
-                self.errands.push(Errand { seq: self.seq, origin: addr, asked: seq, until });
+                let deadline = now + self.config.direct_timeout + self.config.indirect_timeout;
+                self.relayed.push(RelayedPing { seq: self.seq, origin: addr, origin_seq: seq, deadline });
                 self.send(to, Payload::Ping { seq: self.seq }, &mut out);
             }
-            Payload::Join => self.list_members(addr, &mut out),
+            Payload::Join => self.send_members(addr, &mut out),
             Payload::Members => {}
-            Payload::Facts { facts } => self.take_facts(facts, &sender, &mut out),
+            Payload::Facts { facts } => self.merge_facts(facts, &sender, &mut out),
             Payload::Compare { digest } => {
-                if let Some(it) = self.facts.compare(&digest) {
-                    self.send(addr, it, &mut out);
+                if let Some(payload) = self.facts.compare(&digest) {
+                    self.send(addr, payload, &mut out);
                 }
             }
             Payload::Versions { keys, buckets } => {
-                for it in self.facts.versions(&keys, &buckets) {
-                    self.send(addr, it, &mut out);
+                for payload in self.facts.versions(&keys, &buckets) {
+                    self.send(addr, payload, &mut out);
                 }
             }
             Payload::Want { keys } => {
-                for it in self.facts.wanted(&keys) {
-                    self.send(addr, it, &mut out);
+                for payload in self.facts.wanted(&keys) {
+                    self.send(addr, payload, &mut out);
                 }
             }
         }
-        // One comparison an interval is enough to repair; more would let a large difference flood.
-        if probe && facts != self.facts.hash() && now >= self.compared + self.config.probe_interval / 2 {
-            self.compared = now;
+        // One comparison per half interval is enough for repair; with more, a large difference would flood the network.
+        if probe && facts != self.facts.hash() && now >= self.last_compare + self.config.probe_interval / 2 {
+            self.last_compare = now;
             let digest = self.facts.digest();
             self.send(addr, Payload::Compare { digest }, &mut out);
         }
         out
     }
 
-    /// Evidence gathered before a pause of this instance itself says nothing about others.
-    fn forgive(&mut self, now: Time) {
+    /// Discards open probes and restarts suspicion periods after a pause of this instance, because evidence from before the pause
+    /// says nothing about other members.
+    fn reset_timers(&mut self, now: Time) {
         self.probes.clear();
-        self.errands.clear();
-        for it in &mut self.suspects {
-            it.1 = now + self.config.suspicion_timeout;
+        self.relayed.clear();
+        for suspect in &mut self.suspects {
+            suspect.1 = now + self.config.suspicion_timeout;
         }
     }
 
-    fn probe(&mut self, now: Time, out: &mut Output) {
+    fn send_probe(&mut self, now: Time, out: &mut Output) {
         let Some(target) = self.next_target() else { return };
-        let Some(addr) = self.get(&target).map(|it| it.addr) else { return };
+        let Some(addr) = self.get(&target).map(|m| m.addr) else { return };
         self.seq += 1;
-        let until = now + self.config.direct_timeout;
-        self.probes.push(Probe { seq: self.seq, target, stage: Stage::Direct, until });
+        let deadline = now + self.config.direct_timeout;
+        self.probes.push(Probe { seq: self.seq, target, stage: Stage::Direct, deadline });
         self.send(addr, Payload::Ping { seq: self.seq }, out);
     }
 
-    /// Walks through all members in a random order, then through a new one.
+    /// Returns the next member to probe: all members in a random order that is shuffled again for each round.
     fn next_target(&mut self) -> Option<Name> {
         loop {
-            if self.order.is_empty() {
-                let open = self.list.iter().filter(|it| it.state != MemberState::Dead);
-                self.order = open.map(|it| it.name.clone()).collect();
-                self.order.shuffle(&mut self.rng);
+            if self.probe_order.is_empty() {
+                let open = self.list.iter().filter(|m| m.state != MemberState::Dead);
+                self.probe_order = open.map(|m| m.name.clone()).collect();
+                self.probe_order.shuffle(&mut self.rng);
             }
-            let it = self.order.pop()?;
-            match self.get(&it).map(|it| it.state) {
+            let name = self.probe_order.pop()?;
+            match self.get(&name).map(|m| m.state) {
                 Some(MemberState::Dead) | None => {}
-                Some(_) => return Some(it),
+                Some(_) => return Some(name),
             }
         }
     }
 
     fn expire_probes(&mut self, now: Time, out: &mut Output) {
         let (due, open) =
-            std::mem::take(&mut self.probes).into_iter().partition(|it: &Probe| it.until <= now);
+            std::mem::take(&mut self.probes).into_iter().partition(|probe: &Probe| probe.deadline <= now);
         self.probes = open;
-        for it in due {
-            match it.stage {
-                Stage::Direct => self.ask_helpers(now, it, out),
-                Stage::Indirect => self.event(now, &it.target, MemberEvent::Missed, out),
+        for probe in due {
+            match probe.stage {
+                Stage::Direct => self.probe_indirectly(now, probe, out),
+                Stage::Indirect => self.apply_event(now, &probe.target, MemberEvent::Missed, out),
             }
         }
     }
 
-    fn ask_helpers(&mut self, now: Time, probe: Probe, out: &mut Output) {
-        let Some(it) = self.get(&probe.target) else { return };
-        let (addr, zone) = (it.addr, it.zone.clone());
+    fn probe_indirectly(&mut self, now: Time, probe: Probe, out: &mut Output) {
+        let Some(member) = self.get(&probe.target) else { return };
+        let (addr, zone) = (member.addr, member.zone.clone());
         let mut helpers: Vec<(bool, u64, SocketAddr)> = Vec::new();
         for m in &self.list {
             if m.state == MemberState::Alive && m.name != probe.target {
                 helpers.push((m.zone == zone, self.rng.random(), m.addr));
             }
         }
-        // Other zones first: a cut inside the target's zone should not condemn it.
+        // Members of other zones first, so that a partition within the target's zone doesn't make it suspect.
         helpers.sort_unstable();
         for (_, _, to) in helpers.into_iter().take(self.config.indirect_probes) {
             let (seq, target) = (probe.seq, probe.target.clone());
@@ -414,36 +418,36 @@
         self.send(addr, Payload::Ping { seq: probe.seq }, out);
         self.probes.push(Probe {
             stage: Stage::Indirect,
-            until: now + self.config.indirect_timeout,
+            deadline: now + self.config.indirect_timeout,
             ..probe
         });
     }
 
-    fn acked(&mut self, seq: u64, about: Name, out: &mut Output) {
-        self.probes.retain(|it| it.seq != seq);
-        if let Some(at) = self.errands.iter().position(|it| it.seq == seq) {
-            let it = self.errands.swap_remove(at);
-            self.send(it.origin, Payload::Ack { seq: it.asked, about }, out);
+    fn on_ack(&mut self, seq: u64, about: Name, out: &mut Output) {
+        self.probes.retain(|probe| probe.seq != seq);
+        if let Some(at) = self.relayed.iter().position(|ping| ping.seq == seq) {
+            let ping = self.relayed.swap_remove(at);
+            self.send(ping.origin, Payload::Ack { seq: ping.origin_seq, about }, out);
         }
     }
 
     fn expire_suspects(&mut self, now: Time, out: &mut Output) {
-        let due: Vec<Name> = self.suspects.iter().filter(|it| it.1 <= now).map(|it| it.0.clone()).collect();
-        for it in due {
-            self.event(now, &it, MemberEvent::Expired, out);
+        let due: Vec<Name> = self.suspects.iter().filter(|s| s.1 <= now).map(|s| s.0.clone()).collect();
+        for name in due {
+            self.apply_event(now, &name, MemberEvent::Expired, out);
         }
     }
 
-    fn join(&mut self, out: &mut Output) {
-        for it in self.seeds.clone() {
-            self.send(it, Payload::Join, out);
+    fn send_joins(&mut self, out: &mut Output) {
+        for seed in self.seeds.clone() {
+            self.send(seed, Payload::Join, out);
         }
     }
 
-    /// Looks at one member held for dead: after a cut between regions both sides hold each other so.
-    fn revive(&mut self, out: &mut Output) {
+    /// Probes one dead member, because after a partition between regions each side considers the other dead.
+    fn probe_dead(&mut self, out: &mut Output) {
         let dead: Vec<SocketAddr> =
-            self.list.iter().filter(|it| it.state == MemberState::Dead).map(|it| it.addr).collect();
+            self.list.iter().filter(|m| m.state == MemberState::Dead).map(|m| m.addr).collect();
         if dead.is_empty() {
             return;
         }
@@ -452,45 +456,45 @@
         self.send(dead[at], Payload::Ping { seq: self.seq }, out);
     }
 
-    /// Asks one member for the whole list, the less often the larger the fleet.
-    fn refresh(&mut self, now: Time, out: &mut Output) {
+    /// Requests the full member list from one member; the period grows with the fleet.
+    fn request_members(&mut self, now: Time, out: &mut Output) {
         let period = self.config.sync_interval.max(self.list.len() as u64 * 100);
-        if now < self.refreshed + period {
+        if now < self.last_sync + period {
             return;
         }
-        self.refreshed = now;
+        self.last_sync = now;
         let alive: Vec<SocketAddr> =
-            self.list.iter().filter(|it| it.state == MemberState::Alive).map(|it| it.addr).collect();
+            self.list.iter().filter(|m| m.state == MemberState::Alive).map(|m| m.addr).collect();
         if !alive.is_empty() {
             let at = self.rng.random_range(0..alive.len());
             self.send(alive[at], Payload::Join, out);
         }
     }
 
-    fn list_members(&mut self, to: SocketAddr, out: &mut Output) {
+    fn send_members(&mut self, to: SocketAddr, out: &mut Output) {
         let all: Vec<MemberView> = self.list.clone();
-        for part in all.chunks(LIST) {
-            let gram = self.datagram(part.to_vec(), Payload::Members);
-            out.send.push((to, gram));
+        for part in all.chunks(LIST_CHUNK) {
+            let datagram = self.datagram(part.to_vec(), Payload::Members);
+            out.send.push((to, datagram));
         }
         if all.is_empty() {
             self.send(to, Payload::Members, out);
         }
     }
 
-    /// Merges what is told of a member: a higher incarnation wins, then the worse state.
+    /// Merges a reported state of a member: the higher incarnation wins, then the worse state.
     fn merge(&mut self, now: Time, view: MemberView, out: &mut Output) {
         if view.name == self.local.name {
-            self.defend(&view, out);
+            self.refute(&view, out);
             return;
         }
-        let at = match self.list.binary_search_by(|it| it.name.cmp(&view.name)) {
+        let at = match self.list.binary_search_by(|m| m.name.cmp(&view.name)) {
             Err(at) => {
-                if view.state == MemberState::Dead && self.list.len() >= DEAD_KEPT {
+                if view.state == MemberState::Dead && self.list.len() >= DEAD_LIMIT {
                     return;
                 }
                 self.list.insert(at, view.clone());
-                self.tell(view.clone());
+                self.queue_update(view.clone());
                 let (name, after) = (view.name, view.state);
                 if after == MemberState::Suspect {
                     self.suspects.push((name.clone(), now + self.config.suspicion_timeout));
@@ -503,7 +507,7 @@
         let old = &self.list[at];
         let newer = (view.incarnation, view.state) > (old.incarnation, old.state);
         if !newer {
-            // Whoever is held for suspect or dead and doesn't know it has to hear of it, to refute it.
+            // A suspected or dead member that still sends its old state is notified by `take_updates` and can refute it.
             return;
         }
         let event = match view.state {
@@ -513,80 +517,80 @@
             MemberState::Dead => MemberEvent::DeclaredDead,
         };
         let name = view.name.clone();
-        let it = &mut self.list[at];
-        it.incarnation = view.incarnation;
-        it.addr = view.addr;
-        it.zone = view.zone;
-        self.event(now, &name, event, out);
+        let member = &mut self.list[at];
+        member.incarnation = view.incarnation;
+        member.addr = view.addr;
+        member.zone = view.zone;
+        self.apply_event(now, &name, event, out);
     }
 
-    /// Moves a member along the chart.
-    fn event(&mut self, now: Time, name: &Name, event: MemberEvent, out: &mut Output) {
-        let Ok(at) = self.list.binary_search_by(|it| it.name.cmp(name)) else { return };
+    /// Applies an event to a member's state.
+    fn apply_event(&mut self, now: Time, name: &Name, event: MemberEvent, out: &mut Output) {
+        let Ok(at) = self.list.binary_search_by(|m| m.name.cmp(name)) else { return };
         let before = self.list[at].state;
-        let Ok(next) = CHART.next(life(before), event) else { return };
+        let Ok(next) = CHART.next(phase(before), event) else { return };
         let after = state(next);
         self.list[at].state = after;
-        self.suspects.retain(|it| it.0 != *name);
+        self.suspects.retain(|s| s.0 != *name);
         if after == MemberState::Suspect {
             self.suspects.push((name.clone(), now + self.config.suspicion_timeout));
         }
         let view = self.list[at].clone();
-        self.tell(view);
+        self.queue_update(view);
         if before != after {
             out.changes.push(Change { name: name.clone(), before: Some(before), after });
         }
     }
 
-    /// Refutes what others hold of this instance.
-    fn defend(&mut self, view: &MemberView, out: &mut Output) {
+    /// Refutes a wrong or stale state of this instance with a higher incarnation.
+    fn refute(&mut self, view: &MemberView, out: &mut Output) {
         let wrong = view.incarnation >= self.local.incarnation && view.state > self.local.state;
         let stale = view.incarnation > self.local.incarnation;
         if !wrong && !stale {
             return;
         }
         self.local.incarnation = view.incarnation + 1;
-        let me = self.local.clone();
-        self.tell(me);
-        self.push_news(out);
+        let local = self.local.clone();
+        self.queue_update(local);
+        self.push_updates(out);
     }
 
-    /// Passes a change on with the next datagrams, the more often the larger the fleet.
-    fn tell(&mut self, view: MemberView) {
-        let left = 3 * ((self.list.len() + 2) as f64).log2().ceil() as u32;
-        self.news.retain(|it| it.view.name != view.name);
-        self.news.insert(0, News { view, left });
+    /// Queues an update to be piggybacked on the next datagrams; their number grows with the fleet.
+    fn queue_update(&mut self, view: MemberView) {
+        let remaining = 3 * ((self.list.len() + 2) as f64).log2().ceil() as u32;
+        self.updates.retain(|update| update.view.name != view.name);
+        self.updates.insert(0, Update { view, remaining });
     }
 
-    fn take_news(&mut self, to: SocketAddr) -> Vec<MemberView> {
+    fn take_updates(&mut self, to: SocketAddr) -> Vec<MemberView> {
         let mut out = Vec::new();
-        // A member that is held for suspect or dead is told so whenever it is spoken to.
-        let own = self.list.iter().find(|it| it.addr == to && it.state != MemberState::Alive);
+        // Every datagram to a member that isn't considered alive contains its state, so that the member can refute it.
+        let own = self.list.iter().find(|m| m.addr == to && m.state != MemberState::Alive);
         out.extend(own.cloned());
-        // What was told least goes first: a death must not queue behind the news of a hundred joins.
-        self.news.sort_by_key(|it| std::cmp::Reverse(it.left));
-        for it in self.news.iter_mut().take(NEWS) {
-            it.left -= 1;
-            out.push(it.view.clone());
+        // The updates sent least often go first: a death must not queue behind a hundred joins.
+        self.updates.sort_by_key(|update| std::cmp::Reverse(update.remaining));
+        for update in self.updates.iter_mut().take(MAX_UPDATES) {
+            update.remaining -= 1;
+            out.push(update.view.clone());
         }
-        self.news.retain(|it| it.left > 0);
+        self.updates.retain(|update| update.remaining > 0);
         out
     }
 
-    fn take_facts(&mut self, facts: Vec<Fact>, from: &Name, out: &mut Output) {
-        let news: Vec<Fact> = facts.into_iter().filter(|it| self.facts.accept(it.clone())).collect();
-        if !news.is_empty() {
-            self.push(&news, Some(from), out);
-            out.facts.extend(news);
+    fn merge_facts(&mut self, facts: Vec<Fact>, from: &Name, out: &mut Output) {
+        let newer: Vec<Fact> = facts.into_iter().filter(|fact| self.facts.accept(fact.clone())).collect();
+        if !newer.is_empty() {
+            self.push_facts(&newer, Some(from), out);
+            out.facts.extend(newer);
         }
     }
 
-    /// Pushes news to a few peers.
-    fn push(&mut self, facts: &[Fact], except: Option<&Name>, out: &mut Output) {
+    /// Pushes facts to a few peers.
+    fn push_facts(&mut self, facts: &[Fact], except: Option<&Name>, out: &mut Output) {
         let open: Vec<&MemberView> =
-            self.list.iter().filter(|it| it.state != MemberState::Dead && Some(&it.name) != except).collect();
+            self.list.iter().filter(|m| m.state != MemberState::Dead && Some(&m.name) != except).collect();
         let chosen = spread::peers(self.config.peer_choice, &self.local.name, &open, &mut self.rng);
-        let to: Vec<SocketAddr> = chosen.into_iter().map(|it| it.addr).collect();
+        let to: Vec<SocketAddr> = chosen.into_iter().map(|m| m.addr).collect();
         for payload in spread::pack(facts.to_vec()) {
             for addr in &to {
                 self.send(*addr, payload.clone(), out);
@@ -594,20 +598,20 @@
         }
     }
 
-    /// Sends the news to a few peers at once, rather than with the next probe.
-    fn push_news(&mut self, out: &mut Output) {
-        let open: Vec<&MemberView> = self.list.iter().filter(|it| it.state != MemberState::Dead).collect();
+    /// Sends queued updates to a few peers immediately, without waiting for the next probe.
+    fn push_updates(&mut self, out: &mut Output) {
+        let open: Vec<&MemberView> = self.list.iter().filter(|m| m.state != MemberState::Dead).collect();
         let chosen = spread::peers(self.config.peer_choice, &self.local.name, &open, &mut self.rng);
-        let to: Vec<SocketAddr> = chosen.into_iter().map(|it| it.addr).collect();
+        let to: Vec<SocketAddr> = chosen.into_iter().map(|m| m.addr).collect();
         for addr in to {
             self.send(addr, Payload::Members, out);
         }
     }
 
     fn send(&mut self, to: SocketAddr, body: Payload, out: &mut Output) {
-        let news = self.take_news(to);
-        let gram = self.datagram(news, body);
-        out.send.push((to, gram));
+        let updates = self.take_updates(to);
+        let datagram = self.datagram(updates, body);
+        out.send.push((to, datagram));
     }
 
     fn datagram(&self, news: Vec<MemberView>, body: Payload) -> Datagram {
@@ -615,8 +619,8 @@
     }
 }
 
-fn life(it: MemberState) -> MemberPhase {
-    match it {
+fn phase(state: MemberState) -> MemberPhase {
+    match state {
         MemberState::Alive => MemberPhase::Alive,
         MemberState::Suspect => MemberPhase::Suspect,
         MemberState::Leaving => MemberPhase::Leaving,
@@ -624,8 +628,8 @@
     }
 }
 
-fn state(it: MemberPhase) -> MemberState {
-    match it {
+fn state(phase: MemberPhase) -> MemberState {
+    match phase {
         MemberPhase::Alive => MemberState::Alive,
         MemberPhase::Suspect => MemberState::Suspect,
         MemberPhase::Leaving => MemberState::Leaving,
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -1,7 +1,7 @@
-//! From an operator's intent to a plan of steps.
+//! Plans: an operator's intent as a list of steps.
 //!
-//! A plan says what will happen and from which versions it was made. Confirming it is conditional on
-//! those versions. Each step can be done twice with the effect of once, so any instance can carry on.
+//! A plan lists its effects and the versions of the configuration that it was made from, and its confirmation is conditional
+//! on these versions. Steps are idempotent, so any instance can continue a plan.
 
 use {
     crate::state_chart::StateChart,
@@ -13,105 +13,105 @@
     strum::{Display, EnumIter, EnumString, IntoStaticStr},
 };
 
-/// What can happen to a plan.
+/// Events of a plan.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum PlanEvent {
-    /// The operator confirms.
+    /// The operator confirmed the plan.
     Confirm,
-    /// The operator ends it.
+    /// The operator aborted the plan.
     Abort,
-    /// A step is done, and others are left.
+    /// A step is done and others remain.
     Progress,
     /// The last step is done.
     Finish,
-    /// A step can't be done.
+    /// A step failed.
     Fail,
 }
 
-/// States of [`PlanState`] as the chart names them.
+/// Mirror of [`PlanState`] with the names used in the chart.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, EnumString, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum PlanPhase {
-    /// Shown to the operator.
+    /// Waiting for the operator's confirmation.
     Proposed,
-    /// Worked on.
+    /// Steps are being executed.
     Running,
-    /// Done.
+    /// All steps are done.
     Done,
-    /// Ended early.
+    /// Aborted by the operator.
     Aborted,
-    /// Can't be done.
+    /// A step failed.
     Failed,
 }
 
 static CHART: LazyLock<StateChart<PlanPhase, PlanEvent>> = LazyLock::new(|| {
-    StateChart::parse(include_str!("../charts/plan.toml")).expect("the chart is checked by a test")
+    StateChart::parse(include_str!("../charts/plan.toml")).expect("a test parses the chart")
 });
 
-/// The chart of a plan's life.
+/// Returns the state chart of a plan.
 pub fn chart() -> &'static StateChart<PlanPhase, PlanEvent> {
     &CHART
 }
 
-/// Why no plan can be made, or a plan can't move.
+/// Error while making or advancing a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum PlanError {
-    /// Something the intent names doesn't exist.
+    /// The intent names something that doesn't exist.
     #[snafu(display("there is no {kind} {name:?}; known are: {known}"))]
     Unknown {
-        /// The kind.
+        /// The kind of object.
         kind: &'static str,
-        /// The name given.
+        /// The name in the intent.
         name: Name,
-        /// The names there are.
+        /// The existing names.
         known: String,
     },
-    /// It is so already.
+    /// The intent is already fulfilled.
     #[snafu(display("nothing to do: {reason}"))]
     NoChange {
         /// Why.
         reason: String,
     },
-    /// It would break a promise.
+    /// The change would violate a safety guarantee.
     #[snafu(display("refused: {reason}"))]
     Unsafe {
         /// Why.
         reason: String,
     },
-    /// The plan's state doesn't allow it.
+    /// The plan's state doesn't allow the event.
     #[snafu(display("the plan is {state}, so it can't take {event}"))]
     InvalidState {
-        /// Its state.
+        /// The plan's state.
         state: PlanState,
-        /// What was asked.
+        /// The rejected event.
         event: PlanEvent,
     },
 }
 
-/// What plans are made from.
+/// State of the cluster that plans are made from.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterView {
-    /// Groups with the versions of their configuration, sorted by name.
+    /// Groups with the versions of their configurations, sorted by name.
     pub groups: Vec<(GroupSpec, u64)>,
-    /// Primaries as the homes see them: group, server, term.
+    /// Primaries as reported by the homes: group, server and term.
     pub primaries: Vec<(Name, Name, Term)>,
     /// Members, sorted by name.
     pub members: Vec<MemberView>,
 }
 
-/// Makes a plan.
-pub fn propose(name: Name, operator: Name, intent: Intent, outlook: &ClusterView) -> Result<Plan, PlanError> {
+/// Makes a plan for an intent. Fails if the intent names something unknown, is already fulfilled or is unsafe.
+pub fn propose(name: Name, operator: Name, intent: Intent, view: &ClusterView) -> Result<Plan, PlanError> {
     let (steps, effects, basis) = match &intent {
-        Intent::Drain { group, server } => drain(outlook, group, server)?,
-        Intent::Return { group, server } => bring_back(outlook, group, server)?,
-        Intent::Switch { group, server } => switch(outlook, group, server)?,
-        Intent::Stop { instance } => stop(outlook, instance)?,
-        Intent::Configure { spec } => configure(outlook, spec)?,
+        Intent::Drain { group, server } => drain(view, group, server)?,
+        Intent::Return { group, server } => undrain(view, group, server)?,
+        Intent::Switch { group, server } => switch(view, group, server)?,
+        Intent::Stop { instance } => stop(view, instance)?,
+        Intent::Configure { spec } => configure(view, spec)?,
     };
     Ok(Plan {
         name,
@@ -119,7 +119,7 @@
         operator,
         effects,
         basis,
-        steps: steps.into_iter().map(|it| (it, StepState::Waiting)).collect(),
+        steps: steps.into_iter().map(|step| (step, StepState::Waiting)).collect(),
         state: PlanState::Proposed,
         worker: Name::new(),
         log: Vec::new(),
@@ -127,9 +127,9 @@
     })
 }
 
-/// Moves a plan along its chart.
+/// Applies an event to a plan's state. Fails if the chart doesn't allow the event.
 pub fn advance(plan: &mut Plan, event: PlanEvent) -> Result<(), PlanError> {
-    match CHART.next(stage(plan.state), event) {
+    match CHART.next(phase(plan.state), event) {
         Ok(next) => {
             plan.state = state(next);
             Ok(())
@@ -138,28 +138,28 @@
     }
 }
 
-/// The first step that is not done.
+/// Returns the index of the first step that isn't done; none if all are done.
 pub fn next_step(plan: &Plan) -> Option<usize> {
-    plan.steps.iter().position(|it| it.1 == StepState::Waiting)
+    plan.steps.iter().position(|step| step.1 == StepState::Waiting)
 }
 
-type Parts = (Vec<Step>, Vec<String>, Vec<(String, Name, u64)>);
+/// Steps, effects, and the basis as kind, name and version.
+type PlanParts = (Vec<Step>, Vec<String>, Vec<(String, Name, u64)>);
 
-fn drain(outlook: &ClusterView, group: &Name, server: &Name) -> Result<Parts, PlanError> {
-    let (spec, version) = find_group(outlook, group)?;
-    let it = find_server(spec, server)?;
-    if it.draining {
+fn drain(view: &ClusterView, group: &Name, server: &Name) -> Result<PlanParts, PlanError> {
+    let (spec, version) = find_group(view, group)?;
+    let target = find_server(spec, server)?;
+    if target.draining {
         return Err(PlanError::NoChange { reason: format!("{server} is draining already") });
     }
-    let others: Vec<&ServerSpec> =
-        spec.servers.iter().filter(|it| !it.draining && it.name != *server).collect();
+    let others: Vec<&ServerSpec> = spec.servers.iter().filter(|s| !s.draining && s.name != *server).collect();
     if others.len() + 1 < spec.majority() || others.is_empty() {
         let reason = format!("{group} would be left without a server for its work");
         return Err(PlanError::Unsafe { reason });
     }
     let mut steps = Vec::new();
     let mut effects = Vec::new();
-    if primary(outlook, group) == Some(server) {
+    if primary(view, group) == Some(server) {
         let next = others[0].name.clone();
         effects.push(format!("{group}: writes are held briefly, {next} catches up and becomes the primary"));
         effects.push("no transaction is cut: held work goes on at the new primary".to_owned());
@@ -171,8 +171,8 @@
     Ok((steps, effects, vec![("group".to_owned(), group.clone(), version)]))
 }
 
-fn bring_back(outlook: &ClusterView, group: &Name, server: &Name) -> Result<Parts, PlanError> {
-    let (spec, version) = find_group(outlook, group)?;
+fn undrain(view: &ClusterView, group: &Name, server: &Name) -> Result<PlanParts, PlanError> {
+    let (spec, version) = find_group(view, group)?;
     if !find_server(spec, server)?.draining {
         return Err(PlanError::NoChange { reason: format!("{server} is in use already") });
     }
@@ -181,17 +181,17 @@
     Ok((vec![step], vec![effect], vec![("group".to_owned(), group.clone(), version)]))
 }
 
-fn switch(outlook: &ClusterView, group: &Name, server: &Name) -> Result<Parts, PlanError> {
-    let (spec, version) = find_group(outlook, group)?;
+fn switch(view: &ClusterView, group: &Name, server: &Name) -> Result<PlanParts, PlanError> {
+    let (spec, version) = find_group(view, group)?;
     if find_server(spec, server)?.draining {
         let reason = format!("{server} is draining; return it first: pondtrack plan return {group} {server}");
         return Err(PlanError::Unsafe { reason });
     }
-    let from = match primary(outlook, group) {
-        Some(it) if it == server => {
+    let from = match primary(view, group) {
+        Some(current) if current == server => {
             return Err(PlanError::NoChange { reason: format!("{server} is the primary already") });
         }
-        Some(it) => it.clone(),
+        Some(current) => current.clone(),
         None => Name::from("none known"),
     };
     let step = Step::Switch { group: group.clone(), server: server.clone() };
@@ -203,15 +203,15 @@
     Ok((vec![step], effects, vec![("group".to_owned(), group.clone(), version)]))
 }
 
-fn stop(outlook: &ClusterView, instance: &Name) -> Result<Parts, PlanError> {
-    let Some(it) = crate::place::find(&outlook.members, instance) else {
-        let known = join(outlook.members.iter().map(|it| &it.name));
+fn stop(view: &ClusterView, instance: &Name) -> Result<PlanParts, PlanError> {
+    let Some(member) = crate::place::find(&view.members, instance) else {
+        let known = join(view.members.iter().map(|m| &m.name));
         return Err(PlanError::Unknown { kind: "instance", name: instance.clone(), known });
     };
-    if it.state == MemberState::Leaving {
+    if member.state == MemberState::Leaving {
         return Err(PlanError::NoChange { reason: format!("{instance} is leaving already") });
     }
-    let rest = outlook.members.iter().filter(|it| it.name != *instance && it.state == MemberState::Alive);
+    let rest = view.members.iter().filter(|m| m.name != *instance && m.state == MemberState::Alive);
     if rest.count() == 0 {
         return Err(PlanError::Unsafe { reason: format!("{instance} is the last instance") });
     }
@@ -224,12 +224,12 @@
     Ok((vec![Step::Leave { instance: instance.clone() }], effects, Vec::new()))
 }
 
-fn configure(outlook: &ClusterView, spec: &GroupSpec) -> Result<Parts, PlanError> {
+fn configure(view: &ClusterView, spec: &GroupSpec) -> Result<PlanParts, PlanError> {
     let mut spec = spec.clone();
     spec.servers.sort_by(|a, b| a.name.cmp(&b.name));
     spec.check().map_err(|e| PlanError::Unsafe { reason: e.to_string() })?;
-    let old = find_group(outlook, &spec.name).ok();
-    let version = old.map_or(0, |it| it.1);
+    let old = find_group(view, &spec.name).ok();
+    let version = old.map_or(0, |old| old.1);
     let effects = match old {
         None => vec![format!("group {} is created with {} servers", spec.name, spec.servers.len())],
         Some((old, _)) => differences(old, &spec),
@@ -244,15 +244,14 @@
     Ok((vec![Step::Write { spec }], effects, basis))
 }
 
-/// One server at a time may come or go, so that any two majorities, old and new, share a server.
+/// Rejects every change of a group's servers: a majority of the new servers might have no server in common with a majority
+/// of the old ones.
 fn check_change(old: &GroupSpec, new: &GroupSpec) -> Result<(), PlanError> {
-    let gone = old.servers.iter().filter(|it| new.server(&it.name).is_none()).count();
-    let come = new.servers.iter().filter(|it| old.server(&it.name).is_none()).count();
-    let moved = new
-        .servers
-        .iter()
-        .filter(|it| old.server(&it.name).is_some_and(|at| old.servers[at].addr != it.addr));
-    if gone + come + moved.count() > 0 {
+    let removed = old.servers.iter().filter(|s| new.server(&s.name).is_none()).count();
+    let added = new.servers.iter().filter(|s| old.server(&s.name).is_none()).count();
+    let moved =
+        new.servers.iter().filter(|s| old.server(&s.name).is_some_and(|at| old.servers[at].addr != s.addr));
+    if removed + added + moved.count() > 0 {
         let reason = "the servers of a group can't be changed while it is in use: a majority of the new \
                       servers might hold none of the old ones' log; create another group";
         return Err(PlanError::Unsafe { reason: reason.to_owned() });
@@ -274,11 +273,11 @@
     out
 }
 
-fn find_group<'a>(outlook: &'a ClusterView, name: &Name) -> Result<(&'a GroupSpec, u64), PlanError> {
-    match outlook.groups.binary_search_by(|it| it.0.name.cmp(name)) {
-        Ok(at) => Ok((&outlook.groups[at].0, outlook.groups[at].1)),
+fn find_group<'a>(view: &'a ClusterView, name: &Name) -> Result<(&'a GroupSpec, u64), PlanError> {
+    match view.groups.binary_search_by(|g| g.0.name.cmp(name)) {
+        Ok(at) => Ok((&view.groups[at].0, view.groups[at].1)),
         Err(_) => {
-            let known = join(outlook.groups.iter().map(|it| &it.0.name));
+            let known = join(view.groups.iter().map(|g| &g.0.name));
             Err(PlanError::Unknown { kind: "group", name: name.clone(), known })
         }
     }
@@ -288,21 +287,21 @@
     spec.server(name).map(|at| &spec.servers[at]).ok_or_else(|| PlanError::Unknown {
         kind: "server",
         name: name.clone(),
-        known: join(spec.servers.iter().map(|it| &it.name)),
+        known: join(spec.servers.iter().map(|s| &s.name)),
     })
 }
 
-fn primary<'a>(outlook: &'a ClusterView, group: &Name) -> Option<&'a Name> {
-    outlook.primaries.iter().filter(|it| it.0 == *group).max_by_key(|it| it.2).map(|it| &it.1)
+fn primary<'a>(view: &'a ClusterView, group: &Name) -> Option<&'a Name> {
+    view.primaries.iter().filter(|p| p.0 == *group).max_by_key(|p| p.2).map(|p| &p.1)
 }
 
 fn join<'a>(names: impl Iterator<Item = &'a Name>) -> String {
-    let names: Vec<&str> = names.map(|it| it.as_str()).collect();
+    let names: Vec<&str> = names.map(|name| name.as_str()).collect();
     if names.is_empty() { "none".to_owned() } else { names.join(", ") }
 }
 
-fn stage(it: PlanState) -> PlanPhase {
-    match it {
+fn phase(state: PlanState) -> PlanPhase {
+    match state {
         PlanState::Proposed => PlanPhase::Proposed,
         PlanState::Running => PlanPhase::Running,
         PlanState::Done => PlanPhase::Done,
@@ -311,8 +310,8 @@
     }
 }
 
-fn state(it: PlanPhase) -> PlanState {
-    match it {
+fn state(phase: PlanPhase) -> PlanState {
+    match phase {
         PlanPhase::Proposed => PlanState::Proposed,
         PlanPhase::Running => PlanState::Running,
         PlanPhase::Done => PlanState::Done,
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -1,7 +1,7 @@
 //! Promotion of a server to primary, after fencing a majority.
 //!
-//! One `Promotion` is one attempt in one term, which was granted to its owner alone. It promotes at most one server. If the
-//! answer to a promotion is lost, another server may only be promoted in another term.
+//! One [`Promotion`] is one attempt in one term, which was granted to its owner alone. An attempt promotes at most one
+//! server, ever: if the answer to a promotion is lost, another server may only be promoted in another term.
 
 use {
     crate::state_chart::StateChart,
@@ -100,10 +100,10 @@
 impl Promotion {
     /// Starts an attempt in a granted term; returns the orders to fence the servers.
     ///
-    /// The promotion waits for `preferred` to be fenced, until [`Promotion::skip_preferred`] is called, and selects it if no other log is
-    /// higher. Servers in `avoided`, such as drained ones, are only selected if their log is higher than all others.
-    /// `skipped` isn't fenced: a primary that its replicas can't reach would have the highest log, be selected again and
-    /// remain unreachable.
+    /// The promotion waits for `preferred` to be fenced, until [`Promotion::skip_preferred`] is called, and selects that
+    /// server if no other log is higher. Servers in `avoided`, such as drained ones, are only selected if their log is
+    /// higher than all others. `skipped` isn't fenced: a primary that its replicas can't reach would win with entries that
+    /// no other server has, and still be unreachable.
     pub fn start(
         servers: usize,
         quorum: usize,
--- a/crates/core/tests/charts.rs
+++ b/crates/core/tests/charts.rs
@@ -1,4 +1,4 @@
-//! Every state chart: no state out of reach, no event unhandled.
+//! State charts: every state is reachable and every event is handled, so that no event fails at run time.
 
 use {
     pondtrack_core::{
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn charts_are_whole() {
+fn charts_are_complete() {
     check::<SessionState, SessionEvent>(lifecycle::session_chart());
     check::<ConnState, ConnEvent>(lifecycle::connection_chart());
     check::<PromotionState, PromotionEvent>(promotion::chart());
@@ -33,18 +33,18 @@
 }
 
 #[test]
-fn faults_in_a_chart_are_found() {
-    let gap = "initial = \"free\"\nfinal = [\"closed\"]\nmoves = [[\"free\", \"lend\", \"busy\"]]";
-    let chart: StateChart<ConnState, ConnEvent> = StateChart::parse(gap).expect("it can be read");
+fn defective_charts_are_rejected() {
+    let incomplete = "initial = \"free\"\nfinal = [\"closed\"]\nmoves = [[\"free\", \"lend\", \"busy\"]]";
+    let chart: StateChart<ConnState, ConnEvent> = StateChart::parse(incomplete).expect("valid syntax");
     let states: Vec<ConnState> = ConnState::iter().collect();
     let events: Vec<ConnEvent> = ConnEvent::iter().collect();
     assert_eq!(chart.unreachable(&states), [ConnState::Pinned, ConnState::Closed]);
     assert!(chart.unhandled(&states, &events).contains(&(ConnState::Busy, ConnEvent::Pin)));
-    for bad in [
+    for invalid in [
         "initial = \"nowhere\"\nmoves = []",
         "initial = \"free\"\nmoves = [[\"free\", \"lend\", \"busy\"], [\"free\", \"lend\", \"closed\"]]",
         "initial = 1",
     ] {
-        assert!(StateChart::<ConnState, ConnEvent>::parse(bad).is_err(), "{bad}");
+        assert!(StateChart::<ConnState, ConnEvent>::parse(invalid).is_err(), "{invalid}");
     }
 }
