--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,15 +8,15 @@
 //!
 //! | module | purpose |
 //! | --- | --- |
-//! | [`commit_gate`] | acknowledgements wait for a majority |
-//! | [`promotion`] | fencing a majority and promoting one server |
-//! | [`term_pool`] | terms taken ahead of need |
-//! | [`leader`] | leader of a term whose primary doesn't respond |
-//! | [`lease`] | lease of the instance that may order promotions |
-//! | [`primary_claim`] | whether a primary holds what its replicas have received |
-//! | [`recovery`] | recovery of a server that restarted without its data |
-//! | [`failure_detector`] | when a primary is given up |
-//! | [`freshness`] | how old a replica's answer is |
+//! | [`commit_gate`] | acknowledgement of commits by a majority |
+//! | [`promotion`] | fencing of a majority and promotion of a server |
+//! | [`term_pool`] | pre-allocated terms |
+//! | [`leader`] | the leader of a term while its primary is unreachable |
+//! | [`lease`] | the lease of the instance that may order promotions |
+//! | [`primary_claim`] | detection of a primary that has lost its log |
+//! | [`recovery`] | quorum eligibility of a restarted server |
+//! | [`failure_detector`] | failure detection for primaries |
+//! | [`freshness`] | staleness of replica reads |
 //! | [`request_key`] | idempotency keys of requests that run at most once |
 //! | [`token`] | session tokens, with which a session continues on another instance |
 //!
@@ -36,10 +36,10 @@
 //! | [`scheduler`] | who runs next at a server that has too much to do |
 //! | [`retry`] | retry budgets and backoff |
 //! | [`retry_after`] | retry times of refused callers |
-//! | [`member`] | membership: probes, suspicion, incarnations |
+//! | [`member`] | gossip membership: probes, suspicion, incarnations |
 //! | [`delta`] | deltas between versions of a collection |
 //! | [`gossip`] | gossip of versioned facts: push and anti-entropy |
-//! | [`plan`] | plans that turn an operator's intent into steps |
+//! | [`plan`] | plans: an operator's intent as steps |
 //!
 //! Shared: [`state_chart`] (state charts read from files), [`lifecycle`] (state charts of sessions and connections),
 //! [`timer`], [`decision_log`].
