--- a/crates/engine/src/progress.rs
+++ b/crates/engine/src/progress.rs
@@ -1,78 +1,79 @@
-//! How far a statement has come, for whoever waits for its answer and may leave.
+//! The progress of a statement towards a server, and its cancellation after the caller disconnects.
 
 use {std::cell::Cell, tokio::sync::Notify};
 
-/// How far one statement has come, and whether anybody waits for its answer.
+/// The progress of one statement, and the state of its caller.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Whether a server may have it, or a connection is being prepared for it.
+    /// True if a server may have the statement, or a connection is being prepared for it.
     sent: Cell<bool>,
-    /// Other instances that may have sent it.
-    relayed: Cell<usize>,
-    /// Whether its caller has left.
-    left: Cell<bool>,
-    /// Whether nobody wants the transaction that it begins or goes on with.
-    dropped: Cell<bool>,
-    /// Woken when the caller has left.
-    leave: Notify,
-    /// Woken when another instance has not sent it.
-    back: Notify,
+    /// The number of other instances that may have sent the statement.
+    relays: Cell<usize>,
+    /// True if the caller has disconnected.
+    disconnected: Cell<bool>,
+    /// True if the transaction that the statement begins or continues has been abandoned.
+    txn_abandoned: Cell<bool>,
+    /// Notified when the caller disconnects.
+    disconnect: Notify,
+    /// Notified when another instance returns the statement without having sent it.
+    returned: Notify,
 }
 
 impl Progress {
-    /// A server may have it from now on.
+    /// Records that a server may have the statement from now on.
     pub fn set_sent(&self) {
         self.sent.set(true);
     }
 
-    /// Another instance may have sent it from now on.
+    /// Records that another instance may have sent the statement from now on.
     pub fn relay_started(&self) {
-        self.relayed.set(self.relayed.get() + 1);
+        self.relays.set(self.relays.get() + 1);
     }
 
-    /// Another instance has answered.
-    pub fn relay_finished(&self, sent: bool) {
-        self.relayed.set(self.relayed.get() - 1);
-        match sent {
+    /// Records the response of another instance, and whether that instance may have sent the statement.
+    pub fn relay_finished(&self, may_have_run: bool) {
+        self.relays.set(self.relays.get() - 1);
+        match may_have_run {
             true => self.set_sent(),
-            false => self.back.notify_one(),
+            false => self.returned.notify_one(),
         }
     }
 
-    /// Whether it waits and no server has it.
+    /// Returns true if no server can have the statement.
     pub fn is_unsent(&self) -> bool {
-        !self.sent.get() && self.relayed.get() == 0
+        !self.sent.get() && self.relays.get() == 0
     }
 
-    /// Its caller has left.
+    /// Records that the caller has disconnected.
     pub fn disconnect(&self) {
-        self.left.set(true);
-        self.leave.notify_waiters();
+        self.disconnected.set(true);
+        self.disconnect.notify_waiters();
     }
 
-    /// Nobody wants its transaction.
+    /// Records that the statement's transaction has been abandoned and has to be rolled back.
     pub fn abandon_txn(&self) {
-        self.dropped.set(true);
+        self.txn_abandoned.set(true);
     }
 
-    /// Whether nobody wants its transaction.
+    /// Returns true if the statement's transaction has been abandoned.
     pub fn is_txn_abandoned(&self) -> bool {
-        self.dropped.get()
+        self.txn_abandoned.get()
     }
 
-    /// Waits until its caller has left.
+    /// Waits until the caller has disconnected.
     pub async fn disconnected(&self) {
-        let leave = self.leave.notified();
-        if !self.left.get() {
-            leave.await;
+        let notified = self.disconnect.notified();
+        if !self.disconnected.get() {
+            notified.await;
         }
     }
 
-    /// Waits until its caller has left and no server has it. What a server has is left to end.
+    /// Waits until the caller has disconnected and no server can have the statement. A statement that a server has runs
+    /// to completion.
     pub async fn cancelled(&self) {
         self.disconnected().await;
         while !self.is_unsent() {
-            self.back.notified().await;
+            self.returned.notified().await;
         }
     }
 }
--- a/crates/engine/src/read.rs
+++ b/crates/engine/src/read.rs
@@ -1,7 +1,7 @@
 //! Reads outside a transaction.
 //!
-//! A read goes to any server whose log holds what the read has to show: the position goes along with the
-//! read, and a server that lacks it doesn't run it.
+//! A read runs on any server whose log has reached the position that the read has to reflect. The position is sent with
+//! the read, and a server that hasn't reached it rejects the read.
 
 use {
     crate::{
@@ -12,7 +12,9 @@
         model::{Answer, Code, ReadPolicy, TxnState},
         session::Session,
         settings::{HEDGE_SHARE, RETRY_PAUSE, TRIES},
-        statement::{Miss, NO_TIME, Need, UNCONFIRMED, Work, busy},
+        statement::{
+            DispatchError, Execution, PRIMARY_UNCONFIRMED, ReadRequirement, SERVER_OVERLOADED, busy,
+        },
         upstream::Upstream,
     },
     futures::{StreamExt, future::LocalBoxFuture, stream::FuturesUnordered},
@@ -22,217 +24,226 @@
     tokio::time::{Instant, timeout, timeout_at},
 };
 
-/// Time after which a server that owes an answer nobody waits for loses its connection.
-const REAP_LIMIT: Duration = Duration::from_secs(3);
+/// The time after which the connection of an unneeded read is closed if the server hasn't answered.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A read at a server.
-struct Flight {
+/// A finished attempt to run a read on a server.
+struct Attempt {
     up: Rc<Upstream>,
     channel: Channel,
-    need: Need,
+    requirement: ReadRequirement,
     /// The group's term when the server was chosen.
     term: Term,
     sent: Micros,
-    got: Result<Answer, RunError>,
+    result: Result<Answer, RunError>,
 }
 
-/// A read at a server that will be answered.
-type Landing = LocalBoxFuture<'static, Flight>;
-type Flights = FuturesUnordered<Landing>;
+/// An attempt in flight.
+type PendingAttempt = LocalBoxFuture<'static, Attempt>;
+type PendingAttempts = FuturesUnordered<PendingAttempt>;
 
-/// What became of one try.
-enum Landed {
-    /// The answer for the caller, of a server that was chosen in this term.
+/// The outcome of one attempt.
+enum Outcome {
+    /// The answer for the caller, and the group's term when the server was chosen.
     Done(Answer, Term),
-    /// It ran, and failed.
+    /// The read ran and failed.
     Failed(Answer),
-    /// It may have run.
-    Lost,
-    /// It did not run, as there was too much to do.
-    Full,
-    /// It did not run, as the server has no time for it.
+    /// The read may have run.
+    Unknown,
+    /// The read did not run, because no connection or permit was free in time.
+    Busy,
+    /// The read did not run, because the server is too overloaded to answer in time.
     Refused,
-    /// It did not run.
+    /// The read did not run.
     NotRun,
 }
 
-/// What the tries of a read came to so far.
+/// The outcomes of all attempts of a read so far.
 #[derive(Default)]
-struct Tries {
-    /// The servers that were tried.
+struct Attempts {
+    /// The indexes of the servers that were tried.
     tried: Vec<usize>,
-    /// The answer to the last try that ran and failed.
+    /// The answer to the last attempt that ran and failed.
     failed: Option<Answer>,
-    /// Whether another may have run.
-    lost: bool,
+    /// True if an attempt without an answer may have run.
+    maybe_run: bool,
 }
 
-impl Tries {
-    /// Whether there were some, and no server has run the read.
-    fn are_vain(&self) -> bool {
-        !self.tried.is_empty() && self.failed.is_none() && !self.lost
+impl Attempts {
+    /// Returns true if there was an attempt, and no server has run the read.
+    fn all_not_run(&self) -> bool {
+        !self.tried.is_empty() && self.failed.is_none() && !self.maybe_run
     }
 
-    /// The answer to a read that is given up.
-    fn outcome(self, why: &str) -> Answer {
+    /// The answer to a read after the last attempt.
+    fn into_answer(self, reason: &str) -> Answer {
         match self.failed {
-            Some(it) => it,
-            None if self.lost => Answer::error(Code::Timeout, "no answer in time", TxnState::Idle),
-            None => busy(why, TxnState::Idle),
+            Some(answer) => answer,
+            None if self.maybe_run => Answer::error(Code::Timeout, "no answer in time", TxnState::Idle),
+            None => busy(reason, TxnState::Idle),
         }
     }
 }
 
-impl Work<'_> {
-    /// Answers a read.
+impl Execution<'_> {
+    /// Executes a read. Retries on other servers, and hedges a slow attempt with a second one.
     pub async fn read(&self, session: &Session) -> Answer {
         let Some(group) = self.inst.group(&self.route.group) else {
             return busy("the group has no servers", TxnState::Idle);
         };
         let latest = self.route.policy == ReadPolicy::Latest;
-        let mut tries = Tries::default();
-        let mut flights: Flights = FuturesUnordered::new();
+        let mut attempts = Attempts::default();
+        let mut pending: PendingAttempts = FuturesUnordered::new();
         let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
         let mut hedge = Some(self.arrived);
-        while tries.tried.len() < TRIES && Instant::now() < self.end {
-            if flights.is_empty() {
-                if tries.are_vain() && self.gives_up(&group) {
+        while attempts.tried.len() < TRIES && Instant::now() < self.deadline {
+            if pending.is_empty() {
+                if attempts.all_not_run() && self.stops_retrying(&group) {
                     break;
                 }
-                match self.launch(session, &group, &mut tries.tried).await {
-                    Ok(it) => flights.push(it),
-                    Err(Miss::Late(why, held)) => {
-                        // Where a try ran and failed, or may have run, its caller is told that.
-                        self.count_held(held.filter(|_| tries.failed.is_none() && !tries.lost));
-                        return tries.outcome(why);
+                match self.start_attempt(session, &group, &mut attempts.tried).await {
+                    Ok(attempt) => pending.push(attempt),
+                    Err(DispatchError::OutOfTime(reason, counter)) => {
+                        // If an attempt failed or may have run, the caller gets that outcome, and no refusal is
+                        // counted.
+                        self.count_timeout(
+                            counter.filter(|_| attempts.failed.is_none() && !attempts.maybe_run),
+                        );
+                        return attempts.into_answer(reason);
                     }
-                    Err(Miss::Again) => {
-                        self.pause(&mut backoff).await;
+                    Err(DispatchError::Retry) => {
+                        self.back_off(&mut backoff).await;
                         continue;
                     }
                 }
                 hedge = hedge.map(|_| Instant::now() + self.route.objective.mul_f64(HEDGE_SHARE));
             }
-            let limit = hedge.filter(|_| !latest).unwrap_or(self.end).min(self.end);
-            let flight = match timeout_at(limit, flights.next()).await {
-                Ok(Some(it)) => it,
+            let hedge_at = hedge.filter(|_| !latest).unwrap_or(self.deadline).min(self.deadline);
+            let attempt = match timeout_at(hedge_at, pending.next()).await {
+                Ok(Some(attempt)) => attempt,
                 Ok(None) => continue,
                 Err(_) => {
                     hedge = None;
-                    flights.extend(self.hedge(session, &group, &mut tries.tried).await);
+                    pending.extend(self.hedge(session, &group, &mut attempts.tried).await);
                     continue;
                 }
             };
-            match self.landed(&group, flight) {
-                Landed::Done(answer, term) => {
-                    if !latest || group.confirm(&self.inst, term, self.since, self.end).await {
-                        reap(flights);
+            match self.finish_attempt(&group, attempt) {
+                Outcome::Done(answer, term) => {
+                    if !latest || group.confirm(&self.inst, term, self.arrived_at, self.deadline).await {
+                        drain(pending);
                         return answer;
                     }
                     if group.term() == term {
-                        return busy(UNCONFIRMED, TxnState::Idle);
+                        return busy(PRIMARY_UNCONFIRMED, TxnState::Idle);
                     }
-                    // The primary was replaced meanwhile: what it showed is dropped, and the next one is asked.
+                    // After a failover, the old primary's answer is discarded, and the read is retried on the new one.
                 }
-                Landed::Failed(answer) => tries.failed = Some(answer),
-                Landed::Lost => tries.lost = true,
-                Landed::Full if flights.is_empty() && self.is_held() => {
-                    return tries.outcome("too much to do");
+                Outcome::Failed(answer) => attempts.failed = Some(answer),
+                Outcome::Unknown => attempts.maybe_run = true,
+                Outcome::Busy if pending.is_empty() && self.is_overdue() => {
+                    return attempts.into_answer("too much to do");
                 }
-                Landed::Refused if flights.is_empty() => return tries.outcome(NO_TIME),
-                Landed::Full | Landed::Refused | Landed::NotRun => {}
+                Outcome::Refused if pending.is_empty() => return attempts.into_answer(SERVER_OVERLOADED),
+                Outcome::Busy | Outcome::Refused | Outcome::NotRun => {}
             }
             self.inst.counters.one(Count::Retries);
-            if tries.tried.len() >= group.servers().len() {
-                self.pause(&mut backoff).await;
+            if attempts.tried.len() >= group.servers().len() {
+                self.back_off(&mut backoff).await;
             }
         }
-        tries.lost |= !flights.is_empty();
-        reap(flights);
-        tries.outcome("no server takes the read")
+        attempts.maybe_run |= !pending.is_empty();
+        drain(pending);
+        attempts.into_answer("no server takes the read")
     }
 
-    /// Sends a read that has no answer yet to another server, if one is left.
-    async fn hedge(&self, session: &Session, group: &Rc<Group>, tried: &mut Vec<usize>) -> Option<Landing> {
-        let old = tried.clone();
-        let it = self.launch(session, group, tried).await.ok()?;
-        if tried.last().is_some_and(|it| old.contains(it)) {
+    /// Sends a slow read to another server too. Returns none if no untried server is left.
+    async fn hedge(
+        &self,
+        session: &Session,
+        group: &Rc<Group>,
+        tried: &mut Vec<usize>,
+    ) -> Option<PendingAttempt> {
+        let already_tried = tried.clone();
+        let attempt = self.start_attempt(session, group, tried).await.ok()?;
+        if tried.last().is_some_and(|index| already_tried.contains(index)) {
             return None;
         }
         self.inst.counters.one(Count::Hedges);
-        Some(it)
+        Some(attempt)
     }
 
-    /// Sends a read to the best server.
-    async fn launch(
+    /// Prepares a read on the best server. The request is sent when the returned future is polled.
+    async fn start_attempt(
         &self,
         session: &Session,
         group: &Rc<Group>,
         tried: &mut Vec<usize>,
-    ) -> Result<Landing, Miss> {
-        let need = self.need(session, group).await?;
-        let up = match need.mark {
-            Some(_) => group.choose(&self.inst, need.since, tried),
+    ) -> Result<PendingAttempt, DispatchError> {
+        let requirement = self.requirement(session, group).await?;
+        let up = match requirement.mark {
+            Some(_) => group.choose(&self.inst, requirement.since, tried),
             None => None,
         };
         let up = match up {
-            Some(it) => it,
+            Some(up) => up,
             None => self.primary(group).await?,
         };
-        // It may have become known, or taken another's place, only after the read had come.
+        // Read after the choice: the term may have become known, or changed, since the read arrived.
         let term = group.term();
         tried.push(up.index);
-        // Another server is tried soon, if there is one.
-        let others = tried.len() < group.servers().len();
-        let until = if others { Instant::now() + self.route.objective / 4 } else { self.end };
-        let mut channel = self.reach(session, &up, until).await?;
-        let parcel = self.parcel(session, need.mark);
+        // Waits only a quarter of the objective for a channel while there are untried servers.
+        let untried = tried.len() < group.servers().len();
+        let deadline = if untried { Instant::now() + self.route.objective / 4 } else { self.deadline };
+        let mut channel = self.open_channel(session, &up, deadline).await?;
+        let request = self.request(session, requirement.mark);
         let inst = self.inst.clone();
         let sent = inst.now();
         Ok(Box::pin(async move {
-            let got = parcel.run(&inst, &up, &mut channel).await;
-            Flight { up, channel, need, term, sent, got }
+            let result = request.run(&inst, &up, &mut channel).await;
+            Attempt { up, channel, requirement, term, sent, result }
         }))
     }
 
-    fn landed(&self, group: &Group, flight: Flight) -> Landed {
-        let Flight { up, channel, need, term, sent, got } = flight;
+    /// Records the result of an attempt and classifies it.
+    fn finish_attempt(&self, group: &Group, attempt: Attempt) -> Outcome {
+        let Attempt { up, channel, requirement, term, sent, result } = attempt;
         let now = self.inst.now();
-        let answer = match got {
-            Ok(it) => it,
+        let answer = match result {
+            Ok(answer) => answer,
             Err(e) => {
                 up.missed(&e, channel.via(), sent, now);
                 return match e {
-                    RunError::Busy => Landed::Full,
-                    RunError::Refused => Landed::Refused,
-                    RunError::NotSent { .. } | RunError::Gone => Landed::NotRun,
-                    RunError::Broken { .. } | RunError::Late => Landed::Lost,
+                    RunError::Busy => Outcome::Busy,
+                    RunError::Refused => Outcome::Refused,
+                    RunError::NotSent { .. } | RunError::Gone => Outcome::NotRun,
+                    RunError::Broken { .. } | RunError::Late => Outcome::Unknown,
                 };
             }
         };
-        self.judge(group, &up, &answer, sent, &channel);
-        need.learn(&up, &answer, sent, now);
+        self.record_answer(group, &up, &answer, sent, &channel);
+        requirement.record_lag(&up, &answer, sent, now);
         if answer.txn == TxnState::Idle && answer.code() != Some(Code::NoStatement) {
             channel.give_back();
         }
         match answer.code() {
             None => {
-                let replica = group.primary().is_none_or(|it| it.index != up.index);
+                let replica = group.primary().is_none_or(|primary| primary.index != up.index);
                 self.inst.counters.one(if replica { Count::ReplicaReads } else { Count::PrimaryReads });
-                Landed::Done(answer, term)
+                Outcome::Done(answer, term)
             }
-            Some(code) if code.not_run() => Landed::NotRun,
-            Some(Code::Failed | Code::Timeout) => Landed::Failed(answer),
-            Some(_) => Landed::Done(answer, term),
+            Some(code) if code.not_run() => Outcome::NotRun,
+            Some(Code::Failed | Code::Timeout) => Outcome::Failed(answer),
+            Some(_) => Outcome::Done(answer, term),
         }
     }
 }
 
-/// Leaves statements whose answers nobody waits for to end on their own.
-fn reap(flights: Flights) {
-    for it in flights {
+/// Drains attempts whose answers are no longer needed, in the background, so that their connections can be reused.
+fn drain(pending: PendingAttempts) {
+    for attempt in pending {
         tokio::task::spawn_local(async move {
-            if let Ok(Flight { channel, got: Ok(answer), .. }) = timeout(REAP_LIMIT, it).await
+            if let Ok(Attempt { channel, result: Ok(answer), .. }) = timeout(DRAIN_TIMEOUT, attempt).await
                 && answer.txn == TxnState::Idle
             {
                 channel.give_back();
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -1,4 +1,4 @@
-//! A caller's session: its values, its named statements, its transaction.
+//! A caller's session: its connection, session values, named statements and transaction.
 
 use {
     crate::{
@@ -9,7 +9,7 @@
         organisation::{CallerKey, KeyHash, Owner},
         progress::Progress,
         settings::{ROTATION_LIMIT, SESSION_NAMES},
-        statement::{self, Work},
+        statement::{self, Execution},
         txn::Txn,
     },
     bytes::{Bytes, BytesMut},
@@ -26,55 +26,56 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Time for a caller to say which database it wants.
-const OPEN_LIMIT: Duration = Duration::from_secs(5);
-/// Time for a caller to take an answer; one that doesn't read is cut off.
-const WRITE_LIMIT: Duration = Duration::from_secs(10);
-/// A caller that says nothing for this long is asked by the system whether it is there: sessions are mostly
-/// idle, and one whose connection let nothing through any longer would stay for good.
-const KEEPALIVE: Duration = Duration::from_secs(20);
-/// Between two such questions, and how many go unanswered before the session ends.
-const KEEPALIVE_AGAIN: (Duration, u32) = (Duration::from_secs(5), 3);
-/// The first size of a session's buffer, in bytes: most statements are smaller.
-const BUFFER: usize = 512;
-/// Bytes of further statements that are taken while one is being answered: those of a caller that doesn't wait for answers
-/// fit, and one that sends without reading has no more kept for it. Whether it leaves isn't noticed beyond.
-const READ_AHEAD: usize = 16 << 10;
+/// The timeout for the message that opens a session on a database.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeout for writing an answer. A caller that doesn't read is disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The idle time before the first TCP keepalive probe. Sessions are mostly idle, and without probes a session would
+/// stay open forever after its connection silently stopped delivering packets.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(20);
+/// The interval between keepalive probes, and the number of unanswered probes that ends the session.
+const KEEPALIVE_PROBES: (Duration, u32) = (Duration::from_secs(5), 3);
+/// The initial size of a session's buffer, in bytes. Most statements are smaller.
+const BUFFER_SIZE: usize = 512;
+/// The maximum number of bytes that are buffered while a statement runs. The statements of a caller that pipelines fit,
+/// and a caller that sends without reading can't use more memory. Beyond this limit the caller's disconnection isn't
+/// noticed until the statement has been answered.
+const MAX_READ_AHEAD: usize = 16 << 10;
 
 /// A named statement of a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prepared {
-    /// The caller's name for it.
+    /// The caller's name for the statement.
     pub name: Name,
-    /// What it does.
+    /// Read or write access.
     pub access: Access,
-    /// The statement.
+    /// The statement's text.
     pub shape: Name,
-    /// Its name on servers: the same for the same statement of all callers.
+    /// The statement's name on servers. The same statement has the same alias for all callers.
     pub alias: Name,
 }
 
 /// A caller's session.
 pub struct Session {
-    /// The instance.
+    /// The instance that serves the session.
     pub inst: Rc<Instance>,
-    /// The database it asked for.
+    /// The database that the session was opened on.
     pub database: Name,
-    /// The key that it was opened with: whose it is may change with each configuration.
+    /// The hash of the key that the session was opened with. Its owner may change with each configuration.
     pub key: KeyHash,
-    /// Its session values.
+    /// The session values.
     pub values: Values,
-    /// Its named statements, sorted by name.
+    /// The named statements, sorted by name.
     pub prepared: Vec<Prepared>,
-    /// Its latest acknowledged commit, and when that was.
+    /// The log position of the latest acknowledged commit, and the time of the acknowledgement.
     pub mark: Option<(Mark, Micros)>,
-    /// Its transaction.
+    /// The current transaction.
     pub txn: Txn,
-    /// How far its statement has come.
+    /// The progress of the current statement.
     progress: Rc<Progress>,
 }
 
-/// Accepts callers until this instance ends.
+/// Accepts connections of callers until this instance stops.
 pub async fn accept(inst: Rc<Instance>, listener: TcpListener) {
     accept_all(&listener, "accept", |stream| serve(inst.clone(), stream)).await;
 }
@@ -82,83 +83,85 @@
 async fn serve(inst: Rc<Instance>, stream: TcpStream) {
     inst.sessions.set(inst.sessions.get() + 1);
     inst.counters.one(Count::Sessions);
-    // A caller that goes away is no event worth a line.
-    if let Err(e) = Link::new(inst.clone(), stream).run().await {
+    // Callers disconnect all the time, so this is logged at debug level only.
+    if let Err(e) = Connection::new(inst.clone(), stream).run().await {
         log::debug!(step = "session"; "{e}");
     }
     inst.sessions.set(inst.sessions.get() - 1);
 }
 
-/// The bytes between a caller and its session.
-struct Link {
+/// A caller's connection, with its buffers.
+struct Connection {
     inst: Rc<Instance>,
     stream: TcpStream,
     buf: BytesMut,
     out: BytesMut,
 }
 
-/// What a session waits for between two statements.
-enum Next {
+/// An event that a session handles between two statements.
+enum Event {
     Message(CallerMessage),
-    /// The transaction was idle for too long.
-    Idle,
-    /// This instance leaves.
-    Leave,
-    /// The caller has closed, or sent what can't be read.
+    /// The transaction has reached its idle timeout.
+    TxnIdle,
+    /// This instance is shutting down.
+    Shutdown,
+    /// The caller has closed the connection, or sent a message that exceeds the size limit.
     Closed,
 }
 
-impl Link {
-    fn new(inst: Rc<Instance>, stream: TcpStream) -> Link {
-        Link { inst, stream, buf: BytesMut::with_capacity(BUFFER), out: BytesMut::new() }
+impl Connection {
+    fn new(inst: Rc<Instance>, stream: TcpStream) -> Connection {
+        Connection { inst, stream, buf: BytesMut::with_capacity(BUFFER_SIZE), out: BytesMut::new() }
     }
 
     async fn run(&mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
-        let (interval, retries) = KEEPALIVE_AGAIN;
+        let (interval, retries) = KEEPALIVE_PROBES;
         let keepalive =
-            TcpKeepalive::new().with_time(KEEPALIVE).with_interval(interval).with_retries(retries);
+            TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(interval).with_retries(retries);
         SockRef::from(&self.stream).set_tcp_keepalive(&keepalive)?;
         let Some(mut session) = self.open().await? else { return Ok(()) };
         loop {
             let open = session.txn.is_open();
-            let answer = match self.next(open).await? {
-                Next::Message(CallerMessage::Statement(it)) => match self.attend(&mut session, it).await {
-                    Some(it) => it,
+            let answer = match self.next_event(open).await? {
+                Event::Message(CallerMessage::Statement(s)) => match self.execute(&mut session, s).await {
+                    Some(answer) => answer,
                     None => break,
                 },
-                Next::Message(CallerMessage::Malformed(why)) => {
-                    Answer::error(Code::Malformed, why, session.txn.state())
+                Event::Message(CallerMessage::Malformed(reason)) => {
+                    Answer::error(Code::Malformed, reason, session.txn.state())
                 }
-                Next::Message(CallerMessage::Open { .. }) => {
+                Event::Message(CallerMessage::Open { .. }) => {
                     Answer::error(Code::Malformed, "the session is open already", session.txn.state())
                 }
-                Next::Idle => {
-                    session.txn.lose("it was idle for too long");
+                Event::TxnIdle => {
+                    session.txn.abort("it was idle for too long");
                     continue;
                 }
-                Next::Message(CallerMessage::Close) | Next::Leave | Next::Closed => break,
+                Event::Message(CallerMessage::Close) | Event::Shutdown | Event::Closed => break,
             };
             self.reply(&answer).await?;
         }
-        session.txn.abandon().await;
+        session.txn.discard().await;
         Ok(())
     }
 
+    /// Opens the session that the caller's first message requests. Returns none if the caller disconnects, is refused
+    /// or doesn't send the message in time.
     async fn open(&mut self) -> io::Result<Option<Session>> {
-        let message = match timeout(OPEN_LIMIT, self.message()).await {
-            Ok(it) => it?,
+        let message = match timeout(OPEN_TIMEOUT, self.message()).await {
+            Ok(message) => message?,
             Err(_) => return Ok(None),
         };
         let refusal = match message {
-            Some(CallerMessage::Open { database, key }) => match self.admit(&database, &key) {
+            Some(CallerMessage::Open { database, key }) => match self.authorise(&database, &key) {
                 Ok(key) => {
                     self.out.clear();
                     self.inst.edge.dialect.welcome(&mut self.out);
                     self.flush().await?;
                     return Ok(Some(Session::new(self.inst.clone(), database, key)));
                 }
-                Err(it) => it,
+                Err(refusal) => refusal,
             },
             Some(_) => Answer::error(Code::Malformed, "a session begins with its database", TxnState::Idle),
             None => return Ok(None),
@@ -169,8 +172,8 @@
         Ok(None)
     }
 
-    /// Whether a caller may open a session, and with which key; else what it is told.
-    fn admit(&self, database: &Name, key: &CallerKey) -> Result<KeyHash, Answer> {
+    /// Checks that a caller may open a session on a database. Returns the hash of its key, or the refusal.
+    fn authorise(&self, database: &Name, key: &CallerKey) -> Result<KeyHash, Answer> {
         let Some(desired) = self.inst.desired() else {
             return Err(statement::busy("no configuration yet", TxnState::Idle));
         };
@@ -195,71 +198,75 @@
         Ok(key)
     }
 
-    async fn next(&mut self, open: bool) -> io::Result<Next> {
+    /// Waits for the next event; `open` says that a transaction is open.
+    async fn next_event(&mut self, open: bool) -> io::Result<Event> {
         let inst = self.inst.clone();
-        let idle = inst.desired().map(|it| it.txn_idle).filter(|_| open);
+        let idle = inst.desired().map(|config| config.txn_idle).filter(|_| open);
         tokio::select! {
-            it = self.message() => Ok(it?.map_or(Next::Closed, Next::Message)),
-            () = or_never(idle) => Ok(Next::Idle),
-            () = may_leave(&inst, open) => Ok(Next::Leave),
+            message = self.message() => Ok(message?.map_or(Event::Closed, Event::Message)),
+            () = sleep_or_pending(idle) => Ok(Event::TxnIdle),
+            () = may_close(&inst, open) => Ok(Event::Shutdown),
         }
     }
 
-    /// Answers a statement; none where its caller has left before a server had it.
-    async fn attend(&mut self, session: &mut Session, it: Statement) -> Option<Answer> {
-        // Flights of an earlier one may still be out.
+    /// Executes a statement. Returns none if the caller disconnects before a server has the statement.
+    async fn execute(&mut self, session: &mut Session, statement: Statement) -> Option<Answer> {
+        // A new value, as hedged reads of an earlier statement may still be in flight.
         let progress = Rc::new(Progress::default());
         session.progress = progress.clone();
-        let answer = session.answer(it);
+        let answer = session.execute(statement);
         tokio::pin!(answer);
         tokio::select! {
             biased;
-            it = &mut answer => return Some(it),
-            () = self.left() => progress.disconnect(),
+            answer = &mut answer => return Some(answer),
+            () = self.disconnected() => progress.disconnect(),
         }
         let answer = tokio::select! {
             biased;
-            it = &mut answer => Some(it),
+            answer = &mut answer => Some(answer),
             () = progress.cancelled() => None,
         };
-        // Another instance that gave it up has it refused.
+        // Counted even if there is an answer: a relay that cancelled the statement answers with a refusal.
         if progress.is_unsent() {
             self.inst.counters.one(Count::LeftWaiting);
         }
         answer
     }
 
-    /// Waits until the caller has left. What it sends meanwhile is kept.
+    /// Waits until the caller has disconnected, and buffers the bytes that it sends meanwhile.
     ///
-    /// A connection that was reset has no caller. One whose stream has ended may have one that still reads: it gets the
-    /// answer to what a server has. The protocol knows no half-closed sessions, so where callers compete for room, what
-    /// still waits is given up; elsewhere its place costs nobody anything.
-    async fn left(&mut self) {
+    /// A reset connection has no caller. After an end of stream, the caller may still read, and gets the answer to a
+    /// statement that a server already has. The protocol has no half-closed sessions, so a statement that is still
+    /// queued is cancelled if organisations have quotas and so compete for capacity. Without quotas it stays queued, as
+    /// its place in the queue costs no other caller anything.
+    async fn disconnected(&mut self) {
         loop {
-            if self.buf.len() >= READ_AHEAD {
+            if self.buf.len() >= MAX_READ_AHEAD {
                 return future::pending().await;
             }
             match self.read().await {
                 Err(_) => return,
-                Ok(0) if self.inst.desired().is_some_and(|it| it.is_limited()) => return,
+                Ok(0) if self.inst.desired().is_some_and(|config| config.is_limited()) => return,
                 Ok(0) => return future::pending().await,
                 Ok(_) => {}
             }
         }
     }
 
+    /// Reads into the buffer; 0 at the end of the stream.
     async fn read(&mut self) -> io::Result<usize> {
-        if self.buf.capacity() - self.buf.len() < BUFFER / 2 {
-            self.buf.reserve(BUFFER);
+        if self.buf.capacity() - self.buf.len() < BUFFER_SIZE / 2 {
+            self.buf.reserve(BUFFER_SIZE);
         }
         self.stream.read_buf(&mut self.buf).await
     }
 
-    /// The caller's next message; none when it has closed.
+    /// Reads the caller's next message; none at the end of the stream. A message that exceeds the size limit is
+    /// refused, and counts as the end.
     async fn message(&mut self) -> io::Result<Option<CallerMessage>> {
         loop {
             match self.inst.edge.dialect.caller(&mut self.buf) {
-                Ok(Some(it)) => return Ok(Some(it)),
+                Ok(Some(message)) => return Ok(Some(message)),
                 Ok(None) => {}
                 Err(e) => {
                     let answer = Answer::error(Code::TooLarge, e.reason, TxnState::Idle);
@@ -282,28 +289,28 @@
     }
 
     async fn flush(&mut self) -> io::Result<()> {
-        match timeout(WRITE_LIMIT, self.stream.write_all(&self.out)).await {
-            Ok(it) => it,
+        match timeout(WRITE_TIMEOUT, self.stream.write_all(&self.out)).await {
+            Ok(result) => result,
             Err(_) => Err(io::ErrorKind::TimedOut.into()),
         }
     }
 }
 
-async fn or_never(limit: Option<Duration>) {
-    match limit {
-        Some(it) => sleep(it).await,
+async fn sleep_or_pending(duration: Option<Duration>) {
+    match duration {
+        Some(duration) => sleep(duration).await,
         None => future::pending().await,
     }
 }
 
-/// Waits until a session may be closed as this instance leaves: once the platform sends no new ones, and
-/// with a transaction open not before half of the grace is over.
-async fn may_leave(inst: &Instance, open: bool) {
+/// Waits until a session may be closed during shutdown: once the platform sends no new sessions, and if a transaction
+/// is open not before half of the grace period is over.
+async fn may_close(inst: &Instance, open: bool) {
     let since = loop {
-        let left = inst.leave.notified();
+        let notified = inst.leave.notified();
         match inst.leaving() {
-            Some(it) => break it,
-            None => left.await,
+            Some(since) => break since,
+            None => notified.await,
         }
     };
     sleep_until(since + if open { inst.bounds.get().grace / 2 } else { ROTATION_LIMIT }).await;
@@ -323,81 +330,82 @@
         }
     }
 
-    /// Answers a statement.
-    pub async fn answer(&mut self, it: Statement) -> Answer {
+    /// Executes a statement, and records its latency and a failure.
+    pub async fn execute(&mut self, statement: Statement) -> Answer {
         let arrived = Instant::now();
-        let answer = self.perform(&it, arrived).await;
+        let answer = self.dispatch(&statement, arrived).await;
         self.inst.counters.statement_time(arrived.elapsed());
         if let Some(code) = answer.code() {
-            self.tell(&it, &answer, code, arrived);
+            self.record_failure(&statement, &answer, code, arrived);
         }
         answer
     }
 
-    async fn perform(&mut self, it: &Statement, arrived: Instant) -> Answer {
-        if self.txn.state() == TxnState::Failed && !matches!(it.verb, Verb::Rollback | Verb::Commit) {
+    async fn dispatch(&mut self, statement: &Statement, arrived: Instant) -> Answer {
+        if self.txn.state() == TxnState::Failed && !matches!(statement.verb, Verb::Rollback | Verb::Commit) {
             return Answer::error(Code::Malformed, "the transaction has failed", TxnState::Failed);
         }
-        let is_owner = |it: &Owner| self.owner().as_ref() == Some(it) && self.inst.trusts_keys();
-        if self.txn.owner().is_some_and(|it| !is_owner(it)) {
-            self.txn.lose("its caller's key is another's or nobody's, or may be by now");
+        let is_owner = |owner: &Owner| self.owner().as_ref() == Some(owner) && self.inst.trusts_keys();
+        if self.txn.owner().is_some_and(|owner| !is_owner(owner)) {
+            self.txn.abort("its caller's key is another's or nobody's, or may be by now");
         }
-        if self.inst.desired().is_some_and(|desired| it.text.len() > desired.message_bytes) {
+        if self.inst.desired().is_some_and(|config| statement.text.len() > config.message_bytes) {
             return Answer::error(Code::TooLarge, "larger than the configuration allows", self.txn.state());
         }
-        match &it.verb {
+        match &statement.verb {
             Verb::Set { name, value } => self.set(name, value),
             Verb::Prepare { name, access, shape } => self.prepare(name, *access, shape),
             Verb::Deallocate { name } => self.deallocate(name),
             Verb::Malformed => Answer::error(Code::Malformed, "not a statement", self.txn.state()),
             Verb::Execute { name, .. } => match self.find(name).cloned() {
-                Some(known) => self.run(it, known.access, Some(known), arrived).await,
+                Some(named) => self.run(statement, named.access, Some(named), arrived).await,
                 None => Answer::error(Code::NoStatement, "no such named statement", self.txn.state()),
             },
-            Verb::Run(access) => self.run(it, *access, None, arrived).await,
-            Verb::Begin(_) | Verb::Commit | Verb::Rollback => self.bound(it, arrived).await,
+            Verb::Run(access) => self.run(statement, *access, None, arrived).await,
+            Verb::Begin(_) | Verb::Commit | Verb::Rollback => self.control_txn(statement, arrived).await,
         }
     }
 
+    /// Runs a read or a write, in the open transaction if there is one.
     async fn run(
         &mut self,
-        it: &Statement,
+        statement: &Statement,
         access: Access,
         named: Option<Prepared>,
         arrived: Instant,
     ) -> Answer {
-        if self.txn.is_lost() {
-            return self.txn.report_lost();
+        if self.txn.is_aborted() {
+            return self.txn.report_abort();
         }
-        let work = match self.work(it, named, arrived) {
-            Ok(it) => it,
+        let execution = match self.execution(statement, named, arrived) {
+            Ok(execution) => execution,
             Err(answer) => return answer,
         };
         if self.txn.is_open() {
-            return work.in_transaction(self, access).await;
+            return execution.run_in_txn(self, access).await;
         }
-        if let Err(it) = self.inst.quotas.admit(&work).await {
-            return over_limit(it);
+        if let Err(retry_after) = self.inst.quotas.admit(&execution).await {
+            return over_quota(retry_after);
         }
         match access {
-            Access::Read => work.read(self).await,
-            Access::Write => work.write(self).await,
+            Access::Read => execution.read(self).await,
+            Access::Write => execution.write(self).await,
         }
     }
 
-    /// Begins or ends a transaction.
-    async fn bound(&mut self, it: &Statement, arrived: Instant) -> Answer {
-        match (&it.verb, self.txn.is_open()) {
+    /// Begins, commits or rolls back a transaction.
+    async fn control_txn(&mut self, statement: &Statement, arrived: Instant) -> Answer {
+        match (&statement.verb, self.txn.is_open()) {
             (Verb::Begin(access), false) => {
                 self.txn = Txn::None;
-                let work = match self.work(it, None, arrived) {
-                    Ok(it) => it,
+                let execution = match self.execution(statement, None, arrived) {
+                    Ok(execution) => execution,
                     Err(answer) => return answer,
                 };
-                if let Err(it) = self.inst.quotas.admit(&work).await {
-                    return over_limit(it);
+                if let Err(retry_after) = self.inst.quotas.admit(&execution).await {
+                    return over_quota(retry_after);
                 }
-                work.begin(self, *access).await
+                execution.begin(self, *access).await
             }
             (Verb::Begin(_), true) => {
                 Answer::error(Code::Malformed, "a transaction is open already", self.txn.state())
@@ -407,31 +415,33 @@
                 self.txn = Txn::None;
                 Answer::done(TxnState::Idle)
             }
-            (_, true) => match self.work(it, None, arrived) {
-                Ok(work) => work.commit(self).await,
+            (_, true) => match self.execution(statement, None, arrived) {
+                Ok(execution) => execution.commit(self).await,
                 Err(answer) => {
                     self.roll_back().await;
                     answer
                 }
             },
-            (_, false) if self.txn.is_lost() => self.txn.report_lost(),
+            (_, false) if self.txn.is_aborted() => self.txn.report_abort(),
             (_, false) => Answer::error(Code::Malformed, "no transaction is open", TxnState::Idle),
         }
     }
 
-    /// Rolls its transaction back for the caller. One that only reads yet is answered, as the server may have the order.
+    /// Rolls the transaction back on the caller's request. Marks the statement as sent, as the server may have received
+    /// the rollback: a caller that has closed only its sending side still gets the answer.
     pub async fn roll_back(&mut self) -> Answer {
         self.progress.set_sent();
         self.txn.rollback().await
     }
 
-    /// A statement on its way, or what its caller is told instead.
-    fn work<'a>(
+    /// Prepares the execution of a statement. Returns the refusal if the database has no route, or the key has no owner
+    /// or can't be checked.
+    fn execution<'a>(
         &self,
-        it: &'a Statement,
+        statement: &'a Statement,
         named: Option<Prepared>,
         arrived: Instant,
-    ) -> Result<Work<'a>, Answer> {
+    ) -> Result<Execution<'a>, Answer> {
         let route = self
             .route()
             .ok_or_else(|| Answer::error(Code::NoDatabase, "the database was removed", TxnState::Idle))?;
@@ -442,111 +452,116 @@
             self.inst.counters.one(Count::Denied);
             return Err(denied());
         };
-        Ok(Work::new(self.inst.clone(), route, owner, it, named, arrived, self.progress.clone()))
+        Ok(Execution::new(self.inst.clone(), route, owner, statement, named, arrived, self.progress.clone()))
     }
 
-    /// How its database is served; a changed route applies from the next transaction on.
+    /// The database's route. An open transaction keeps the route that it began with, so a changed route applies from
+    /// the next transaction on.
     fn route(&self) -> Option<Rc<Route>> {
         match self.txn.route() {
-            Some(it) => Some(it),
+            Some(route) => Some(route),
             None => Some(Rc::new(self.inst.desired()?.route(&self.database)?.clone())),
         }
     }
 
-    /// Whose its statements are now; none where its key allows none.
+    /// The present owner of the session's statements; none if the key allows no access to the database.
     fn owner(&self) -> Option<Owner> {
         self.inst.desired()?.owner(&self.key, &*self.route()?)
     }
 
+    /// Sets a session value.
     fn set(&mut self, name: &Name, value: &Name) -> Answer {
         if self.values.len() >= SESSION_NAMES {
             return Answer::error(Code::TooLarge, "too many session values", self.txn.state());
         }
         let mut values = self.values.to_vec();
-        match values.binary_search_by(|it| it.0.cmp(name)) {
-            Ok(at) => values[at].1 = value.clone(),
-            Err(at) => values.insert(at, (name.clone(), value.clone())),
+        match values.binary_search_by(|entry| entry.0.cmp(name)) {
+            Ok(i) => values[i].1 = value.clone(),
+            Err(i) => values.insert(i, (name.clone(), value.clone())),
         }
         self.values = Rc::new(values);
         Answer::done(self.txn.state())
     }
 
     fn find(&self, name: &Name) -> Option<&Prepared> {
-        let at = self.prepared.binary_search_by(|it| it.name.cmp(name)).ok()?;
-        Some(&self.prepared[at])
+        let i = self.prepared.binary_search_by(|p| p.name.cmp(name)).ok()?;
+        Some(&self.prepared[i])
     }
 
+    /// Adds or replaces a named statement. Servers get it when it is first executed on a connection.
     fn prepare(&mut self, name: &Name, access: Access, shape: &Name) -> Answer {
         if self.prepared.len() >= SESSION_NAMES {
             return Answer::error(Code::TooLarge, "too many named statements", self.txn.state());
         }
-        let it = Prepared { name: name.clone(), access, shape: shape.clone(), alias: alias(access, shape) };
-        match self.prepared.binary_search_by(|it| it.name.cmp(name)) {
-            Ok(at) => self.prepared[at] = it,
-            Err(at) => self.prepared.insert(at, it),
+        let prepared =
+            Prepared { name: name.clone(), access, shape: shape.clone(), alias: alias(access, shape) };
+        match self.prepared.binary_search_by(|p| p.name.cmp(name)) {
+            Ok(i) => self.prepared[i] = prepared,
+            Err(i) => self.prepared.insert(i, prepared),
         }
         Answer::done(self.txn.state())
     }
 
     fn deallocate(&mut self, name: &Name) -> Answer {
-        match self.prepared.binary_search_by(|it| it.name.cmp(name)) {
-            Ok(at) => drop(self.prepared.remove(at)),
+        match self.prepared.binary_search_by(|p| p.name.cmp(name)) {
+            Ok(i) => drop(self.prepared.remove(i)),
             Err(_) => return Answer::error(Code::NoStatement, "no such named statement", self.txn.state()),
         }
         Answer::done(self.txn.state())
     }
 
-    /// One line for a statement that has no result; bounded under load.
-    fn tell(&self, it: &Statement, answer: &Answer, code: Code, arrived: Instant) {
-        let counted = match code {
+    /// Counts and logs a statement that failed. The log is rate-limited.
+    fn record_failure(&self, statement: &Statement, answer: &Answer, code: Code, arrived: Instant) {
+        let counter = match code {
             Code::Unknown | Code::Timeout => Count::Unknown,
             _ => Count::NotRun,
         };
-        self.inst.counters.one(counted);
+        self.inst.counters.one(counter);
         if !self.inst.may_log() {
             return;
         }
-        let id = String::from_utf8_lossy(&it.id);
+        let id = String::from_utf8_lossy(&statement.id);
         let why = match &answer.end {
             crate::model::End::Error { text, .. } => String::from_utf8_lossy(text).into_owned(),
             crate::model::End::Done(_) => String::new(),
         };
         let took_ms = arrived.elapsed().as_millis() as u64;
-        let owner = self.owner().map_or_else(|| "nobody".to_owned(), |it| it.to_string());
+        let owner = self.owner().map_or_else(|| "nobody".to_owned(), |owner| owner.to_string());
         let (database, owner) = (self.database.as_str(), owner.as_str());
         log::info!(request = &*id, database, owner, code:% = code, took_ms; "no result: {why}");
     }
 }
 
-/// What a caller is told whose key is nobody's.
+/// The answer for a key that no owner has.
 fn denied() -> Answer {
     Answer::error(Code::NoAuth, "the key is nobody's", TxnState::Idle)
 }
 
-/// What a caller is told where its key may have been taken away.
+/// The answer while this instance can't exclude that the key was revoked.
 fn untrusted() -> Answer {
     statement::busy("whether the key is still good isn't known", TxnState::Idle)
 }
 
-/// What a caller is told whose organisation has used its quota.
-fn over_limit(it: RetryAfter) -> Answer {
-    let ms = (it.after() / 1_000).max(1);
-    let why = match it {
+/// The answer for an operation above its organisation's quota.
+fn over_quota(retry_after: RetryAfter) -> Answer {
+    let ms = (retry_after.after() / 1_000).max(1);
+    let reason = match retry_after {
         RetryAfter::Room { .. } => format!("the organisation has used its quota; come back in {ms} ms"),
         RetryAfter::TooLate { .. } => {
             format!("the organisation has used its quota; no room in time, come back in {ms} ms")
         }
     };
-    Answer::error(Code::Busy, text(why), TxnState::Idle)
+    Answer::error(Code::Busy, error_text(reason), TxnState::Idle)
 }
 
+/// The name of a named statement on servers: a hash of its access and text.
 fn alias(access: Access, shape: &Name) -> Name {
     let access: &'static str = access.into();
     let text = format!("{access} {shape}");
     Name::from(format!("p{:016x}", xxh3_64(text.as_bytes())))
 }
 
-/// A message for people as the bytes of an answer.
-pub fn text(it: impl Into<String>) -> Bytes {
-    Bytes::from(it.into())
+/// The text of an error answer.
+pub fn error_text(text: impl Into<String>) -> Bytes {
+    Bytes::from(text.into())
 }
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -1,4 +1,4 @@
-//! A statement on its way: what it needs, how it gets to a server, and what its answer shows.
+//! Execution of one statement: its freshness requirement, its channel to a server, and the records kept of its answer.
 
 use {
     crate::{
@@ -12,7 +12,7 @@
         pool::Want,
         ports::{Forward, Text},
         progress::Progress,
-        session::{Prepared, Session, text},
+        session::{Prepared, Session, error_text},
         settings::{AGE_MARGIN, COME_BACK_MS, PATIENCE, SLOW_SHARE, TXN_STATEMENTS},
         upstream::{Exchange, Upstream},
     },
@@ -28,51 +28,53 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A statement on its way.
-pub struct Work<'a> {
-    /// The instance.
+/// Execution of one statement, from its arrival to its answer.
+pub struct Execution<'a> {
+    /// The instance that runs the statement.
     pub inst: Rc<Instance>,
-    /// How the database is served.
+    /// The database's group, read policy, priority and time limits.
     pub route: Rc<Route>,
     /// The statement.
-    pub it: &'a Statement,
-    /// Whose it is.
+    pub statement: &'a Statement,
+    /// The organisation or shared owner that the statement is accounted to.
     pub owner: Owner,
-    /// The named statement that it runs.
+    /// The named statement that an `Execute` refers to.
     pub named: Option<Prepared>,
-    /// When it arrived.
+    /// The time of arrival.
     pub arrived: Instant,
-    /// The same on the instance's clock.
-    pub since: Micros,
-    /// When it has to be answered.
-    pub end: Instant,
-    /// How long it may wait before a server has it.
+    /// The time of arrival on the instance's clock.
+    pub arrived_at: Micros,
+    /// The time by which the statement has to be answered.
+    pub deadline: Instant,
+    /// Limits on the waits before a server has the statement.
     budget: Cell<Budget>,
-    /// How far it has come.
+    /// State shared with the task that watches the caller's connection.
     progress: Rc<Progress>,
 }
 
-/// A statement with all that goes along to a server.
-pub struct Parcel {
+/// A statement with the session state and limits that a channel needs to run it.
+pub struct ServerRequest {
     id: Bytes,
     text: Bytes,
-    after: Option<Mark>,
+    /// The position that the server's log must have reached.
+    min_position: Option<Mark>,
     values: Values,
     named: Option<Prepared>,
     rank: Rank,
-    slow: Micros,
-    end: Instant,
+    /// The latency in microseconds above which the statement counts as slow.
+    slow_threshold: Micros,
+    deadline: Instant,
     progress: Rc<Progress>,
 }
 
-impl Parcel {
-    /// The same in an open transaction.
-    pub fn pinned(mut self) -> Parcel {
+impl ServerRequest {
+    /// Marks the request as part of an open transaction.
+    pub fn pinned(mut self) -> ServerRequest {
         self.rank.pinned = true;
         self
     }
 
-    /// Runs it; a server that doesn't answer for a while is asked whether it is there.
+    /// Runs the request on a channel. Requests a status from the server if no answer comes within [`PATIENCE`].
     pub async fn run(
         &self,
         inst: &Rc<Instance>,
@@ -83,41 +85,41 @@
             Some(named) => Text::Execute { name: &named.alias, args: &self.text },
             None => Text::Plain(&self.text),
         };
-        let what = What::Forward(Forward { id: &self.id, text, after: self.after });
+        let what = What::Forward(Forward { id: &self.id, text, after: self.min_position });
         let sending = Sending {
             values: Some(&self.values),
             named: self.named.as_ref(),
             what,
             rank: Some(self.rank),
-            slow: self.slow,
+            slow: self.slow_threshold,
             overdue: up.overdue(inst.now()),
-            end: self.end,
+            end: self.deadline,
             progress: Some(&self.progress),
         };
-        let work = channel.run(inst, sending);
-        tokio::pin!(work);
-        match timeout(PATIENCE, &mut work).await {
-            Ok(it) => it,
+        let answer = channel.run(inst, sending);
+        tokio::pin!(answer);
+        match timeout(PATIENCE, &mut answer).await {
+            Ok(result) => result,
             Err(_) => {
                 up.ask_after(inst.now().saturating_sub(micros(PATIENCE)));
-                work.await
+                answer.await
             }
         }
     }
 }
 
-/// What a read has to show.
+/// The log position that a read has to reflect.
 #[derive(Clone, Copy, Debug)]
-pub struct Need {
-    /// The position, unless only the primary will do.
+pub struct ReadRequirement {
+    /// The position; none if the read has to run on the primary.
     pub mark: Option<Mark>,
-    /// Since when the primary has had it.
+    /// The time since which the primary is known to have reached the position.
     pub since: Micros,
 }
 
-impl Need {
-    /// Learns from an answer how far a server is behind.
-    pub fn learn(&self, up: &Upstream, answer: &Answer, sent: Micros, now: Micros) {
+impl ReadRequirement {
+    /// Updates a server's replication lag estimate from its answer.
+    pub fn record_lag(&self, up: &Upstream, answer: &Answer, sent: Micros, now: Micros) {
         if self.mark.is_none() {
             return;
         }
@@ -130,214 +132,248 @@
     }
 }
 
-/// Why a statement is refused that would wait for too long.
-pub const NO_TIME: &str = "the server has too much to do to answer in time";
+/// The refusal text for a statement that would wait too long in a server's queue.
+pub const SERVER_OVERLOADED: &str = "the server has too much to do to answer in time";
 
-/// Why what a primary showed isn't passed on.
-pub const UNCONFIRMED: &str = "the primary isn't confirmed";
+/// The refusal text for a result from a primary that no replica has confirmed.
+pub const PRIMARY_UNCONFIRMED: &str = "the primary isn't confirmed";
 
-/// Why a statement isn't at a server.
-pub enum Miss {
-    /// It couldn't be sent to this one.
-    Again,
-    /// There is no time left; what counts it where its caller is told so.
-    Late(&'static str, Option<Count>),
+/// An error before a statement was sent to a server.
+pub enum DispatchError {
+    /// The statement couldn't be sent to the chosen server, and may be retried.
+    Retry,
+    /// No time is left: the refusal text, and the counter to increment if the caller gets that refusal.
+    OutOfTime(&'static str, Option<Count>),
 }
 
-/// The refusal of a statement that did not run.
-pub fn busy(why: &str, txn: TxnState) -> Answer {
-    Answer::error(Code::Busy, text(format!("{why}; come back in {COME_BACK_MS} ms")), txn)
+/// The answer for a statement that did not run, with the time after which the caller may retry.
+pub fn busy(reason: &str, txn: TxnState) -> Answer {
+    Answer::error(Code::Busy, error_text(format!("{reason}; come back in {COME_BACK_MS} ms")), txn)
 }
 
-impl<'a> Work<'a> {
-    /// A statement that has just arrived.
+impl<'a> Execution<'a> {
+    /// Starts the execution of a statement that has just arrived.
     pub fn new(
         inst: Rc<Instance>,
         route: Rc<Route>,
         owner: Owner,
-        it: &'a Statement,
+        statement: &'a Statement,
         named: Option<Prepared>,
         arrived: Instant,
         progress: Rc<Progress>,
-    ) -> Work<'a> {
-        let since = inst.now();
-        let end = arrived + route.timeout;
-        let allowance =
-            Allowance { arrived: since, objective: micros(route.objective), limit: micros(route.timeout) };
-        let limited = inst.desired().is_some_and(|it| it.is_limited());
+    ) -> Execution<'a> {
+        let arrived_at = inst.now();
+        let deadline = arrived + route.timeout;
+        let allowance = Allowance {
+            arrived: arrived_at,
+            objective: micros(route.objective),
+            limit: micros(route.timeout),
+        };
+        let limited = inst.desired().is_some_and(|config| config.is_limited());
         let rule = if limited { Rule::Objective } else { Rule::Limit };
         let budget = Cell::new(Budget::new(allowance, rule));
-        Work { inst, route, it, owner, named, arrived, since, end, budget, progress }
+        Execution { inst, route, statement, owner, named, arrived, arrived_at, deadline, budget, progress }
     }
 
-    /// What the read has to show.
-    pub async fn need(&self, session: &Session, group: &Group) -> Result<Need, Miss> {
-        let Some(age) = self.route.policy.age() else { return Ok(Need { mark: None, since: 0 }) };
-        let needed =
-            group.needed(&self.inst, age.saturating_sub(AGE_MARGIN), self.until(Wait::Evidence)).await;
-        let (since, mark) = needed.ok_or_else(|| self.late(Wait::Evidence))?;
+    /// Returns the log position that a read has to reflect under the route's policy.
+    ///
+    /// # Errors
+    ///
+    /// [`DispatchError::OutOfTime`] if the group's state isn't known in time.
+    pub async fn requirement(
+        &self,
+        session: &Session,
+        group: &Group,
+    ) -> Result<ReadRequirement, DispatchError> {
+        let Some(age) = self.route.policy.age() else { return Ok(ReadRequirement { mark: None, since: 0 }) };
+        let required = group
+            .needed(&self.inst, age.saturating_sub(AGE_MARGIN), self.wait_deadline(Wait::Evidence))
+            .await;
+        let (since, mark) = required.ok_or_else(|| self.out_of_time(Wait::Evidence))?;
         let own = session.mark.filter(|_| matches!(self.route.policy, ReadPolicy::OwnWrites(_)));
         match own {
-            Some((own, at)) if own.lsn > mark.lsn => Ok(Need { mark: Some(own), since: at }),
-            _ => Ok(Need { mark: Some(mark), since }),
+            Some((own, at)) if own.lsn > mark.lsn => Ok(ReadRequirement { mark: Some(own), since: at }),
+            _ => Ok(ReadRequirement { mark: Some(mark), since }),
         }
     }
 
-    /// A primary that answers.
-    pub async fn primary(&self, group: &Group) -> Result<Rc<Upstream>, Miss> {
-        let found = group.wait_primary(&self.inst, self.until(Wait::Primary)).await;
-        let it = found.ok_or_else(|| self.late(Wait::Primary))?;
+    /// Waits for the group's primary.
+    ///
+    /// # Errors
+    ///
+    /// [`DispatchError::OutOfTime`] if no primary answers in time.
+    pub async fn primary(&self, group: &Group) -> Result<Rc<Upstream>, DispatchError> {
+        let found = group.wait_primary(&self.inst, self.wait_deadline(Wait::Primary)).await;
+        let up = found.ok_or_else(|| self.out_of_time(Wait::Primary))?;
         self.budget.set(self.budget.get().found_primary(self.inst.now()));
-        Ok(it)
+        Ok(up)
     }
 
-    /// A way to a server.
-    pub async fn reach(&self, session: &Session, up: &Rc<Upstream>, until: Instant) -> Result<Channel, Miss> {
-        let until = until.min(self.end).min(self.hold());
+    /// Opens a channel to a server: a connection of this instance, or a relay through another instance.
+    ///
+    /// # Errors
+    ///
+    /// [`DispatchError::Retry`] if the server can't be reached or has no connection free,
+    /// [`DispatchError::OutOfTime`] if it rejects the statement for its load or the wait has used up the budget.
+    pub async fn open_channel(
+        &self,
+        session: &Session,
+        up: &Rc<Upstream>,
+        deadline: Instant,
+    ) -> Result<Channel, DispatchError> {
+        let deadline = deadline.min(self.deadline).min(self.queue_deadline());
         self.inst.place(up);
         if !up.is_reachable() {
-            return self.relay(up, until).await;
+            return self.relay(up, deadline).await;
         }
-        // Transactions may rest on connections for long; others have theirs free.
+        // Transactions may occupy this instance's connections for long, while other instances have free ones.
         if up.pool.is_pinned()
-            && let Ok(it) = self.relay(up, until).await
+            && let Ok(channel) = self.relay(up, deadline).await
         {
-            return Ok(it);
+            return Ok(channel);
         }
         let want = Want {
             priority: self.route.priority,
-            until,
+            until: deadline,
             values: Some(session.values.clone()),
             owner: Some(self.owner.clone()),
         };
-        match Direct::reach(&self.inst, up, Some(self.rank_at(up)), self.slow(), want).await {
-            Ok(it) => Ok(Channel::Direct(it)),
-            Err(NoWay::Refused) => Err(Miss::Late(NO_TIME, None)),
-            Err(NoWay::Late(wait)) if self.is_held() => Err(self.late(wait)),
-            Err(NoWay::Late(_)) => Err(Miss::Again),
-            Err(NoWay::Full) => self.relay(up, until).await,
+        match Direct::reach(&self.inst, up, Some(self.rank_at(up)), self.slow_threshold(), want).await {
+            Ok(direct) => Ok(Channel::Direct(direct)),
+            Err(NoWay::Refused) => Err(DispatchError::OutOfTime(SERVER_OVERLOADED, None)),
+            Err(NoWay::Late(wait)) if self.is_overdue() => Err(self.out_of_time(wait)),
+            Err(NoWay::Late(_)) => Err(DispatchError::Retry),
+            Err(NoWay::Full) => self.relay(up, deadline).await,
             Err(NoWay::Unreachable(e)) => {
                 if self.inst.may_log() {
                     log::info!(server = up.entry().id.as_str(); "{e}");
                 }
                 up.failed(self.inst.now(), e.is_refusal());
-                Err(Miss::Again)
+                Err(DispatchError::Retry)
             }
         }
     }
 
-    async fn relay(&self, up: &Upstream, until: Instant) -> Result<Channel, Miss> {
-        let found = up.relay(&self.inst, &self.owner, until).await;
-        found.map(Channel::Relayed).ok_or(Miss::Again)
+    async fn relay(&self, up: &Upstream, deadline: Instant) -> Result<Channel, DispatchError> {
+        let relayed = up.relay(&self.inst, &self.owner, deadline).await;
+        relayed.map(Channel::Relayed).ok_or(DispatchError::Retry)
     }
 
-    /// Until when a statement waits for a server that has too much to do; then its caller is told to come
-    /// back.
-    fn hold(&self) -> Instant {
-        self.until(Wait::Turn).min(self.until(Wait::Connection))
+    /// The deadline for waiting on an overloaded server. After that the caller is refused and may retry later.
+    fn queue_deadline(&self) -> Instant {
+        self.wait_deadline(Wait::Turn).min(self.wait_deadline(Wait::Connection))
     }
 
-    fn until(&self, wait: Wait) -> Instant {
-        self.arrived + Duration::from_micros(self.budget.get().until(wait) - self.since)
+    fn wait_deadline(&self, wait: Wait) -> Instant {
+        self.arrived + Duration::from_micros(self.budget.get().until(wait) - self.arrived_at)
     }
 
-    /// Whether a statement that no server has run is not tried again. A change of primary is waited for all the same.
-    pub fn gives_up(&self, group: &Group) -> bool {
+    /// Returns true if a statement that no server has run is no longer retried. While the group has no primary,
+    /// retries continue even with the budget spent, to wait for the failover to complete.
+    pub fn stops_retrying(&self, group: &Group) -> bool {
         self.budget.get().is_spent(self.inst.now()) && group.primary().is_some()
     }
 
-    /// It has waited in vain.
-    fn late(&self, wait: Wait) -> Miss {
-        let (count, why) = match wait {
+    /// The error for a wait that has reached its deadline.
+    fn out_of_time(&self, wait: Wait) -> DispatchError {
+        let (count, reason) = match wait {
             Wait::Quota => (Count::OverLimit, "the organisation has used its quota"),
             Wait::Evidence => (Count::HeldEvidence, "the group's state isn't known"),
             Wait::Primary => (Count::HeldPrimary, "the group has no primary"),
             Wait::Turn => (Count::HeldTurn, "too much to do"),
             Wait::Connection => (Count::HeldConnection, "no connection is free"),
         };
-        Miss::Late(why, Some(count))
+        DispatchError::OutOfTime(reason, Some(count))
     }
 
-    /// The refusal, if there is no use in another try.
-    pub fn refusal(&self, it: Miss) -> Option<Answer> {
-        match it {
-            Miss::Again => None,
-            Miss::Late(why, held) => {
-                self.count_held(held);
-                Some(busy(why, TxnState::Idle))
+    /// Returns the refusal for the caller, or none if the statement may be retried.
+    pub fn refusal(&self, e: DispatchError) -> Option<Answer> {
+        match e {
+            DispatchError::Retry => None,
+            DispatchError::OutOfTime(reason, counter) => {
+                self.count_timeout(counter);
+                Some(busy(reason, TxnState::Idle))
             }
         }
     }
 
-    /// Its caller is told that it has waited in vain.
-    pub fn count_held(&self, held: Option<Count>) {
-        if let Some(it) = held {
-            self.inst.counters.one(it);
+    /// Counts a statement that is refused because a wait has reached its deadline.
+    pub fn count_timeout(&self, counter: Option<Count>) {
+        if let Some(counter) = counter {
+            self.inst.counters.one(counter);
         }
     }
 
-    /// Whether it has waited for as long as that.
-    pub fn is_held(&self) -> bool {
-        Instant::now() >= self.hold()
+    /// Returns true if the statement has reached the deadline for waiting on an overloaded server.
+    pub fn is_overdue(&self) -> bool {
+        Instant::now() >= self.queue_deadline()
     }
 
-    /// Whose share of a server it uses, where callers are told apart.
+    /// The owner's weighted share of a server; the default if the configuration has no organisations.
     fn share(&self) -> Share {
-        let Some(desired) = self.inst.desired() else { return Share::default() };
-        desired.organisations.as_ref().map(|it| it.share(&self.owner)).unwrap_or_default()
+        let Some(config) = self.inst.desired() else { return Share::default() };
+        config.organisations.as_ref().map(|orgs| orgs.share(&self.owner)).unwrap_or_default()
     }
 
+    /// The statement's rank in a server's queue.
     fn rank(&self) -> Rank {
         Rank {
             share: self.share(),
             pinned: false,
             priority: self.route.priority,
-            aim: self.since + micros(self.route.objective),
+            aim: self.arrived_at + micros(self.route.objective),
             kind: xxh3_64(self.route.database.as_bytes()),
             cost: self.inst.cost(&self.route.database),
-            statements: if matches!(self.it.verb, Verb::Begin(_)) { TXN_STATEMENTS } else { 1 },
+            statements: if matches!(self.statement.verb, Verb::Begin(_)) { TXN_STATEMENTS } else { 1 },
         }
     }
 
-    /// The same at a server: what it takes there is taken off the time that is left.
+    /// The rank for one server, with its expected latency subtracted from the deadline.
     fn rank_at(&self, up: &Upstream) -> Rank {
-        let it = self.rank();
-        Rank { aim: it.aim.saturating_sub(up.pace.get().expected(self.inst.now()) as Micros), ..it }
+        let rank = self.rank();
+        Rank { aim: rank.aim.saturating_sub(up.pace.get().expected(self.inst.now()) as Micros), ..rank }
     }
 
-    /// The statement with all that goes along.
-    pub fn parcel(&self, session: &Session, after: Option<Mark>) -> Parcel {
-        let text = match &self.it.verb {
+    /// Builds the request for a server whose log must have reached `min_position`.
+    pub fn request(&self, session: &Session, min_position: Option<Mark>) -> ServerRequest {
+        let text = match &self.statement.verb {
             Verb::Execute { args, .. } if self.named.is_some() => args,
-            _ => &self.it.text,
+            _ => &self.statement.text,
         };
-        Parcel {
-            id: self.it.id.clone(),
+        ServerRequest {
+            id: self.statement.id.clone(),
             text: text.clone(),
-            after,
+            min_position,
             values: session.values.clone(),
             named: self.named.clone(),
             rank: self.rank(),
-            slow: self.slow(),
-            end: self.end,
+            slow_threshold: self.slow_threshold(),
+            deadline: self.deadline,
             progress: self.progress.clone(),
         }
     }
 
-    /// A statement that takes longer than this is slow.
-    fn slow(&self) -> Micros {
+    /// The latency in microseconds above which the statement counts as slow.
+    fn slow_threshold(&self) -> Micros {
         micros(self.route.objective.mul_f64(SLOW_SHARE))
     }
 
-    /// Draws conclusions from an answer.
-    pub fn judge(&self, group: &Group, up: &Upstream, answer: &Answer, sent: Micros, channel: &Channel) {
+    /// Updates the server's state, the statement costs and the counters from an answer.
+    pub fn record_answer(
+        &self,
+        group: &Group,
+        up: &Upstream,
+        answer: &Answer,
+        sent: Micros,
+        channel: &Channel,
+    ) {
         let direct = channel.via().is_none();
-        up.judge(&self.inst, group, answer, Exchange { sent, slow: self.slow(), direct });
+        up.judge(&self.inst, group, answer, Exchange { sent, slow: self.slow_threshold(), direct });
         match answer.code() {
             None => {
                 self.inst.counters.one(Count::Statements);
-                let took = self.inst.now() - sent;
-                self.inst.spent(&self.route.database, took, channel.is_queued());
+                let latency = self.inst.now() - sent;
+                self.inst.spent(&self.route.database, latency, channel.is_queued());
             }
             Some(Code::Busy) => self.inst.counters.one(Count::ServerBusy),
             Some(Code::Lagging) => self.inst.counters.one(Count::ServerLagging),
@@ -345,27 +381,28 @@
         }
     }
 
-    /// Holds the answer to a commit until a replica has it.
-    pub async fn acknowledge(&self, session: &mut Session, group: &Group, answer: Answer) -> Answer {
+    /// Delays the answer to a commit until a replica has received the commit. Returns an unknown outcome if that
+    /// isn't confirmed before the deadline or the term ends first.
+    pub async fn acknowledge_commit(&self, session: &mut Session, group: &Group, answer: Answer) -> Answer {
         let Some(mark) = answer.mark else { return answer };
-        let began = Instant::now();
-        let held = group.replicated(&self.inst, mark.term, mark.lsn, self.end).await;
-        self.inst.counters.gate_time(began.elapsed());
-        if !held {
-            return unknown("the commit isn't known to last");
+        let started = Instant::now();
+        let replicated = group.replicated(&self.inst, mark.term, mark.lsn, self.deadline).await;
+        self.inst.counters.gate_time(started.elapsed());
+        if !replicated {
+            return unknown_outcome("the commit isn't known to last");
         }
         session.mark = Some((mark, self.inst.now()));
         answer
     }
 
-    /// Waits before another try.
-    pub async fn pause(&self, backoff: &mut Backoff) {
+    /// Waits before a retry, up to the statement's deadline.
+    pub async fn back_off(&self, backoff: &mut Backoff) {
         let ms = backoff.next(&mut *self.inst.rng());
-        sleep_until((Instant::now() + Duration::from_millis(ms)).min(self.end)).await;
+        sleep_until((Instant::now() + Duration::from_millis(ms)).min(self.deadline)).await;
     }
 }
 
-/// The answer where nothing is known.
-pub fn unknown(why: &str) -> Answer {
-    Answer::error(Code::Unknown, text(why), TxnState::Idle)
+/// The answer for a statement that may or may not have taken effect.
+pub fn unknown_outcome(reason: &str) -> Answer {
+    Answer::error(Code::Unknown, error_text(reason), TxnState::Idle)
 }
--- a/crates/engine/src/txn.rs
+++ b/crates/engine/src/txn.rs
@@ -1,4 +1,4 @@
-//! Transactions: one connection to one server from the first statement to the last.
+//! Transactions. A transaction runs on one connection to one server from its first statement to its last.
 
 use {
     crate::{
@@ -8,9 +8,9 @@
         instance::{Instance, Micros},
         model::{Access, Answer, Code, Order, ReadPolicy, Route, TxnState},
         organisation::Owner,
-        session::{Session, text},
+        session::{Session, error_text},
         settings::{ORDER_LIMIT, RETRY_PAUSE, TRIES},
-        statement::{NO_TIME, UNCONFIRMED, Work, busy, unknown},
+        statement::{Execution, PRIMARY_UNCONFIRMED, SERVER_OVERLOADED, busy, unknown_outcome},
         upstream::Upstream,
     },
     pondtrack_core::retry::Backoff,
@@ -20,12 +20,13 @@
 
 /// A session's transaction.
 pub enum Txn {
-    /// There is none.
+    /// No transaction.
     None,
-    /// One is open.
+    /// An open transaction.
     Open(Box<OpenTxn>),
-    /// One was rolled back, which the caller doesn't know yet.
-    Lost(&'static str),
+    /// A transaction that was rolled back without a request of the caller, with the reason. The caller gets the error
+    /// in answer to its next statement.
+    Aborted(&'static str),
 }
 
 /// An open transaction.
@@ -37,69 +38,74 @@
     owner: Owner,
     channel: Channel,
     state: TxnState,
+    /// True if a write succeeded in the transaction.
     wrote: bool,
 }
 
 impl Txn {
-    /// Whether one is open.
+    /// Returns true if a transaction is open.
     pub fn is_open(&self) -> bool {
         matches!(self, Txn::Open(_))
     }
 
-    /// Whether one was rolled back, which the caller doesn't know yet.
-    pub fn is_lost(&self) -> bool {
-        matches!(self, Txn::Lost(_))
+    /// Returns true if a transaction was rolled back and the caller hasn't got the error yet.
+    pub fn is_aborted(&self) -> bool {
+        matches!(self, Txn::Aborted(_))
     }
 
-    /// Its state, as the caller knows it.
+    /// The transaction state as last reported to the caller.
     pub fn state(&self) -> TxnState {
         match self {
             Txn::None => TxnState::Idle,
-            Txn::Open(it) => it.state,
-            Txn::Lost(_) => TxnState::Open,
+            Txn::Open(txn) => txn.state,
+            Txn::Aborted(_) => TxnState::Open,
         }
     }
 
-    /// The route that it began with.
+    /// The route that an open transaction began with.
     pub fn route(&self) -> Option<Rc<Route>> {
         match self {
-            Txn::Open(it) => Some(it.route.clone()),
-            Txn::None | Txn::Lost(_) => None,
+            Txn::Open(txn) => Some(txn.route.clone()),
+            Txn::None | Txn::Aborted(_) => None,
         }
     }
 
-    /// Whose it is, while it is open.
+    /// The owner of an open transaction.
     pub fn owner(&self) -> Option<&Owner> {
         match self {
-            Txn::Open(it) => Some(&it.owner),
-            Txn::None | Txn::Lost(_) => None,
+            Txn::Open(txn) => Some(&txn.owner),
+            Txn::None | Txn::Aborted(_) => None,
         }
     }
 
-    /// Gives it up; the closed connection rolls it back.
-    pub fn lose(&mut self, why: &'static str) {
-        *self = Txn::Lost(why);
+    /// Aborts the transaction by closing its connection, on which the server rolls back.
+    pub fn abort(&mut self, reason: &'static str) {
+        *self = Txn::Aborted(reason);
     }
 
-    /// Tells the caller of a transaction that was given up: nothing of it is kept.
-    pub fn report_lost(&mut self) -> Answer {
+    /// Returns the error for an aborted transaction and resets the state. None of the transaction's writes are kept.
+    pub fn report_abort(&mut self) -> Answer {
         let why = match std::mem::replace(self, Txn::None) {
-            Txn::Lost(why) => why,
+            Txn::Aborted(reason) => reason,
             Txn::None | Txn::Open(_) => "it is gone",
         };
-        Answer::error(Code::Aborted, text(format!("the transaction was rolled back: {why}")), TxnState::Idle)
+        Answer::error(
+            Code::Aborted,
+            error_text(format!("the transaction was rolled back: {why}")),
+            TxnState::Idle,
+        )
     }
 
-    /// Rolls it back for the caller.
+    /// Rolls the transaction back on the caller's request.
     pub async fn rollback(&mut self) -> Answer {
-        self.abandon().await;
+        self.discard().await;
         Answer::done(TxnState::Idle)
     }
 
-    /// Rolls it back; the connection is kept if the server answers.
-    pub async fn abandon(&mut self) {
-        if let Txn::Open(it) = std::mem::replace(self, Txn::None) {
-            let OpenTxn { inst, mut channel, .. } = *it;
+    /// Rolls the transaction back. The connection returns to its pool if the server confirms the rollback.
+    pub async fn discard(&mut self) {
+        if let Txn::Open(txn) = std::mem::replace(self, Txn::None) {
+            let OpenTxn { inst, mut channel, .. } = *txn;
             let what = What::Order(&Order::Rollback, None);
             let end = Instant::now() + ORDER_LIMIT;
             let sending = Sending {
@@ -112,7 +118,7 @@
                 end,
                 progress: None,
             };
-            // Without an answer the connection is closed, which rolls back as well.
+            // Without a confirmation the connection is closed, and the server rolls back too.
             if let Ok(answer) = channel.run(&inst, sending).await
                 && answer.is_done()
                 && answer.txn == TxnState::Idle
@@ -123,31 +129,36 @@
     }
 }
 
-impl Work<'_> {
-    /// Begins a transaction.
+impl Execution<'_> {
+    /// Begins a transaction. Retries on other servers until one accepts or the deadline passes.
     pub async fn begin(&self, session: &mut Session, access: Access) -> Answer {
         let Some(group) = self.inst.group(&self.route.group) else {
             return busy("the group has no servers", TxnState::Idle);
         };
         let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
         let mut tried = Vec::new();
-        while tried.len() < TRIES && Instant::now() < self.end {
-            if !tried.is_empty() && self.gives_up(&group) {
+        while tried.len() < TRIES && Instant::now() < self.deadline {
+            if !tried.is_empty() && self.stops_retrying(&group) {
                 break;
             }
             match self.try_begin(session, &group, access, &mut tried).await {
-                Ok(it) => {
-                    session.txn = Txn::Open(Box::new(it));
+                Ok(txn) => {
+                    session.txn = Txn::Open(Box::new(txn));
                     return Answer::done(TxnState::Open);
                 }
                 Err(Some(answer)) => return answer,
-                Err(None) => self.pause(&mut backoff).await,
+                Err(None) => self.back_off(&mut backoff).await,
             }
             self.inst.counters.one(Count::Retries);
         }
         busy("no server takes the transaction", TxnState::Idle)
     }
 
+    /// Begins a transaction on one server.
+    ///
+    /// # Errors
+    ///
+    /// The answer for the caller, or none if another attempt may succeed.
     async fn try_begin(
         &self,
         session: &Session,
@@ -155,31 +166,32 @@
         access: Access,
         tried: &mut Vec<usize>,
     ) -> Result<OpenTxn, Option<Answer>> {
-        let need = self.need(session, group).await.map_err(|it| self.refusal(it))?;
-        let chosen = match (access, need.mark) {
-            (Access::Read, Some(_)) => group.choose(&self.inst, need.since, tried),
+        let requirement = self.requirement(session, group).await.map_err(|e| self.refusal(e))?;
+        let chosen = match (access, requirement.mark) {
+            (Access::Read, Some(_)) => group.choose(&self.inst, requirement.since, tried),
             _ => None,
         };
         let up = match chosen {
-            Some(it) => it,
-            None => self.primary(group).await.map_err(|it| self.refusal(it))?,
+            Some(up) => up,
+            None => self.primary(group).await.map_err(|e| self.refusal(e))?,
         };
-        // It may have become known, or taken another's place, only after the statement had come.
+        // Read after the choice: the term may have become known, or changed, since the statement arrived.
         let term = group.term();
         tried.push(up.index);
-        let mut channel = self.reach(session, &up, self.end).await.map_err(|it| self.refusal(it))?;
-        let parcel = self.parcel(session, need.mark);
+        let mut channel =
+            self.open_channel(session, &up, self.deadline).await.map_err(|e| self.refusal(e))?;
+        let request = self.request(session, requirement.mark);
         let sent = self.inst.now();
-        let answer = match parcel.run(&self.inst, &up, &mut channel).await {
-            Ok(it) => it,
+        let answer = match request.run(&self.inst, &up, &mut channel).await {
+            Ok(answer) => answer,
             Err(e) => {
                 up.missed(&e, channel.via(), sent, self.inst.now());
                 let refused = matches!(e, RunError::Refused);
-                return Err(refused.then(|| busy(NO_TIME, TxnState::Idle)));
+                return Err(refused.then(|| busy(SERVER_OVERLOADED, TxnState::Idle)));
             }
         };
-        self.judge(group, &up, &answer, sent, &channel);
-        need.learn(&up, &answer, sent, self.inst.now());
+        self.record_answer(group, &up, &answer, sent, &channel);
+        requirement.record_lag(&up, &answer, sent, self.inst.now());
         match answer.code() {
             None => {}
             Some(code) => {
@@ -190,10 +202,10 @@
             }
         }
         if self.route.policy == ReadPolicy::Latest
-            && !group.confirm(&self.inst, term, self.since, self.end).await
+            && !group.confirm(&self.inst, term, self.arrived_at, self.deadline).await
         {
-            // Where it was replaced meanwhile, the next one is asked.
-            return Err((group.term() == term).then(|| busy(UNCONFIRMED, TxnState::Idle)));
+            // After a failover, the next attempt goes to the new primary.
+            return Err((group.term() == term).then(|| busy(PRIMARY_UNCONFIRMED, TxnState::Idle)));
         }
         channel.pin();
         let (inst, group, route) = (self.inst.clone(), group.clone(), self.route.clone());
@@ -209,43 +221,43 @@
         })
     }
 
-    /// Runs a statement of an open transaction.
-    pub async fn in_transaction(&self, session: &mut Session, access: Access) -> Answer {
-        let parcel = self.parcel(session, None).pinned();
+    /// Runs a statement in the session's open transaction.
+    pub async fn run_in_txn(&self, session: &mut Session, access: Access) -> Answer {
+        let request = self.request(session, None).pinned();
         let Txn::Open(txn) = &mut session.txn else { return busy("no transaction", TxnState::Idle) };
         let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
         loop {
             let sent = self.inst.now();
-            let answer = match parcel.run(&self.inst, &txn.up, &mut txn.channel).await {
-                Ok(it) => it,
+            let answer = match request.run(&self.inst, &txn.up, &mut txn.channel).await {
+                Ok(answer) => answer,
                 Err(e) => {
                     txn.up.missed(&e, txn.channel.via(), sent, self.inst.now());
-                    session.txn.lose("the server didn't answer");
-                    return session.txn.report_lost();
+                    session.txn.abort("the server didn't answer");
+                    return session.txn.report_abort();
                 }
             };
-            self.judge(&txn.group, &txn.up, &answer, sent, &txn.channel);
-            // Provably not run, and the transaction goes on.
-            let again =
+            self.record_answer(&txn.group, &txn.up, &answer, sent, &txn.channel);
+            // The server didn't run the statement, and the transaction is still open.
+            let retry =
                 matches!(answer.code(), Some(Code::Busy | Code::NoStatement)) && answer.txn == TxnState::Open;
-            if again && Instant::now() < self.end {
+            if retry && Instant::now() < self.deadline {
                 if answer.code() == Some(Code::NoStatement) {
                     txn.channel.forget_prepared();
                 }
-                self.pause(&mut backoff).await;
+                self.back_off(&mut backoff).await;
                 continue;
             }
             txn.wrote |= access == Access::Write && answer.is_done();
             txn.state = answer.txn;
             if answer.txn == TxnState::Idle {
-                // The server has ended it.
+                // The server has ended the transaction.
                 session.txn = Txn::None;
             }
             return answer;
         }
     }
 
-    /// Commits a transaction.
+    /// Commits the session's transaction.
     pub async fn commit(&self, session: &mut Session) -> Answer {
         let Txn::Open(txn) = std::mem::replace(&mut session.txn, Txn::None) else {
             return busy("no transaction", TxnState::Idle);
@@ -256,17 +268,17 @@
             return Answer::error(Code::Aborted, "the transaction had failed", TxnState::Idle);
         }
         let OpenTxn { group, up, mut channel, wrote, .. } = *txn;
-        let parcel = self.parcel(session, None).pinned();
+        let request = self.request(session, None).pinned();
         let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
         loop {
             let sent = self.inst.now();
-            let answer = match parcel.run(&self.inst, &up, &mut channel).await {
-                Ok(it) => it,
+            let answer = match request.run(&self.inst, &up, &mut channel).await {
+                Ok(answer) => answer,
                 Err(e) => {
                     up.missed(&e, channel.via(), sent, self.inst.now());
                     return match (wrote, e) {
                         (true, RunError::Broken { .. } | RunError::Late) => {
-                            unknown("the commit wasn't answered")
+                            unknown_outcome("the commit wasn't answered")
                         }
                         _ => Answer::error(
                             Code::Aborted,
@@ -276,21 +288,23 @@
                     };
                 }
             };
-            self.judge(&group, &up, &answer, sent, &channel);
-            if answer.code() == Some(Code::Busy) && answer.txn == TxnState::Open && Instant::now() < self.end
+            self.record_answer(&group, &up, &answer, sent, &channel);
+            if answer.code() == Some(Code::Busy)
+                && answer.txn == TxnState::Open
+                && Instant::now() < self.deadline
             {
-                self.pause(&mut backoff).await;
+                self.back_off(&mut backoff).await;
                 continue;
             }
             return match answer.code() {
                 None if answer.txn == TxnState::Idle => {
                     channel.give_back();
                     match wrote {
-                        true => self.acknowledge(session, &group, answer).await,
+                        true => self.acknowledge_commit(session, &group, answer).await,
                         false => answer,
                     }
                 }
-                // Dropped, the connection rolls back whatever is open on it.
+                // Dropping the channel closes the connection, which rolls back the transaction if it is still open.
                 Some(Code::Busy | Code::ReadOnly | Code::NoStatement) => {
                     Answer::error(Code::Aborted, "the server refused to commit", TxnState::Idle)
                 }
@@ -298,7 +312,7 @@
                     channel.give_back();
                     answer
                 }
-                _ => unknown("the commit had no clear answer"),
+                _ => unknown_outcome("the commit had no clear answer"),
             };
         }
     }
--- a/crates/engine/src/write.rs
+++ b/crates/engine/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes outside a transaction: they go to the primary, and are acknowledged once a replica has received them.
+//! Writes outside a transaction. A write runs on the primary, and is acknowledged once a replica has received it.
 
 use {
     crate::{
@@ -6,63 +6,63 @@
         count::Count,
         group::Group,
         model::{Answer, Code, TxnState},
-        session::{Session, text},
+        session::{Session, error_text},
         settings::{RETRY_PAUSE, TRIES},
-        statement::{Miss, NO_TIME, Work, busy, unknown},
+        statement::{DispatchError, Execution, SERVER_OVERLOADED, busy, unknown_outcome},
         upstream::Upstream,
     },
     pondtrack_core::retry::Backoff,
     std::rc::Rc,
 };
 
-impl Work<'_> {
-    /// Answers a write.
+impl Execution<'_> {
+    /// Executes a write. Retries only while no server has run the write.
     pub async fn write(&self, session: &mut Session) -> Answer {
         let Some(group) = self.inst.group(&self.route.group) else {
             return busy("the group has no servers", TxnState::Idle);
         };
         let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
-        for n in 0..TRIES {
-            if n > 0 && self.gives_up(&group) {
+        for attempt in 0..TRIES {
+            if attempt > 0 && self.stops_retrying(&group) {
                 break;
             }
-            let (up, mut channel) = match self.reach_primary(session, &group).await {
-                Ok(it) => it,
-                Err(Miss::Late(why, held)) => {
-                    self.count_held(held);
-                    return busy(why, TxnState::Idle);
+            let (up, mut channel) = match self.open_primary_channel(session, &group).await {
+                Ok(found) => found,
+                Err(DispatchError::OutOfTime(reason, counter)) => {
+                    self.count_timeout(counter);
+                    return busy(reason, TxnState::Idle);
                 }
-                Err(Miss::Again) => {
-                    self.pause(&mut backoff).await;
+                Err(DispatchError::Retry) => {
+                    self.back_off(&mut backoff).await;
                     continue;
                 }
             };
             let sent = self.inst.now();
-            let answer = match self.parcel(session, None).run(&self.inst, &up, &mut channel).await {
-                Ok(it) => it,
+            let answer = match self.request(session, None).run(&self.inst, &up, &mut channel).await {
+                Ok(answer) => answer,
                 Err(e) => {
                     up.missed(&e, channel.via(), sent, self.inst.now());
                     match e {
-                        RunError::Refused => return busy(NO_TIME, TxnState::Idle),
-                        RunError::Busy if self.is_held() => return busy("too much to do", TxnState::Idle),
+                        RunError::Refused => return busy(SERVER_OVERLOADED, TxnState::Idle),
+                        RunError::Busy if self.is_overdue() => return busy("too much to do", TxnState::Idle),
                         RunError::NotSent { .. } | RunError::Busy | RunError::Gone => {
-                            self.pause(&mut backoff).await;
+                            self.back_off(&mut backoff).await;
                             continue;
                         }
                         RunError::Late => {
-                            return Answer::error(Code::Timeout, text(e.to_string()), TxnState::Idle);
+                            return Answer::error(Code::Timeout, error_text(e.to_string()), TxnState::Idle);
                         }
-                        RunError::Broken { .. } => return unknown(&e.to_string()),
+                        RunError::Broken { .. } => return unknown_outcome(&e.to_string()),
                     }
                 }
             };
-            self.judge(&group, &up, &answer, sent, &channel);
+            self.record_answer(&group, &up, &answer, sent, &channel);
             if answer.txn == TxnState::Idle && answer.code() != Some(Code::NoStatement) {
                 channel.give_back();
             }
             match answer.code() {
-                None => return self.acknowledge(session, &group, answer).await,
-                Some(code) if code.not_run() => self.pause(&mut backoff).await,
+                None => return self.acknowledge_commit(session, &group, answer).await,
+                Some(code) if code.not_run() => self.back_off(&mut backoff).await,
                 Some(_) => return answer,
             }
             self.inst.counters.one(Count::Retries);
@@ -70,9 +70,13 @@
         busy("the primary doesn't take the statement", TxnState::Idle)
     }
 
-    async fn reach_primary(&self, session: &Session, group: &Group) -> Result<(Rc<Upstream>, Channel), Miss> {
+    async fn open_primary_channel(
+        &self,
+        session: &Session,
+        group: &Group,
+    ) -> Result<(Rc<Upstream>, Channel), DispatchError> {
         let up = self.primary(group).await?;
-        let channel = self.reach(session, &up, self.end).await?;
+        let channel = self.open_channel(session, &up, self.deadline).await?;
         Ok((up, channel))
     }
 }
