--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -1,4 +1,4 @@
-//! Questions and orders to servers that they answer with their account of themselves.
+//! Orders to servers, the status query among them. A server answers each with its status.
 
 use {
     crate::{
@@ -16,52 +16,54 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// Asks a server whenever it is wanted; questions that come while one is out share the next.
-pub async fn poll_status(inst: Rc<Instance>, group: Rc<Group>, it: Rc<Upstream>) {
+/// Obtains a server's status on request, from other instances or from the server itself, until the server leaves the
+/// directory. Requests that arrive during a query share the next query.
+pub async fn poll_status(inst: Rc<Instance>, group: Rc<Group>, up: Rc<Upstream>) {
     loop {
-        it.nudge.notified().await;
-        if it.is_gone() {
-            it.pool.trim(Instant::now(), true);
+        up.nudge.notified().await;
+        if up.is_gone() {
+            up.pool.trim(Instant::now(), true);
             return;
         }
-        let since = it.since.take();
-        if sightings::learn(&inst, &group, &it, since).await {
+        let since = up.since.take();
+        if sightings::learn(&inst, &group, &up, since).await {
             continue;
         }
-        let asked = send_order(&inst, &group, &it, &Order::Status).await;
-        if asked.is_none() {
-            // So that a server that can't be reached isn't asked without end.
+        let status = send_order(&inst, &group, &up, &Order::Status).await;
+        if status.is_none() {
+            // Limits the rate of queries to an unreachable server.
             sleep(PRIMARY_PAUSE).await;
         }
     }
 }
 
-/// Gives a server an order that it answers with its account of itself: over a connection of this instance,
-/// through another instance, or both.
-pub async fn send_order(inst: &Rc<Instance>, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
-    inst.place(it);
-    if !it.is_reachable() {
-        it.probe(inst, group);
-        return give_through(inst, group, it, order).await;
+/// Sends an order to a server over a connection of this instance. A relay is used too if no answer comes within
+/// [`RELAY_AFTER`], and alone if this instance doesn't reach the server. Returns the server's status, or none if the
+/// server doesn't answer.
+pub async fn send_order(inst: &Rc<Instance>, group: &Group, up: &Upstream, order: &Order) -> Option<Status> {
+    inst.place(up);
+    if !up.is_reachable() {
+        up.probe(inst, group);
+        return send_relayed(inst, group, up, order).await;
     }
-    // Whoever gave up on an earlier question didn't take this away.
-    it.sent.set(None);
-    let direct = send_direct(inst, group, it, order);
+    // Clears the value of an earlier order whose caller stopped waiting.
+    up.sent.set(None);
+    let direct = send_direct(inst, group, up, order);
     tokio::pin!(direct);
     if let Ok(answer) = timeout(RELAY_AFTER, &mut direct).await {
         return match answer {
-            Some(it) => Some(it),
-            None if it.refused().is_some() => None,
-            None => give_through(inst, group, it, order).await,
+            Some(status) => Some(status),
+            None if up.refused().is_some() => None,
+            None => send_relayed(inst, group, up, order).await,
         };
     }
     tokio::select! {
         biased;
         Some(status) = &mut direct => Some(status),
-        Some(status) = give_through(inst, group, it, order) => {
-            // A question that still waits here for a connection shows nothing.
-            if it.sent.get().is_some_and(|at| inst.now() - at >= micros(RELAY_AFTER)) {
-                it.lose("reached through other instances only");
+        Some(status) = send_relayed(inst, group, up, order) => {
+            // Not concluded from an order that still waits for a connection here.
+            if up.sent.get().is_some_and(|at| inst.now() - at >= micros(RELAY_AFTER)) {
+                up.lose("reached through other instances only");
             }
             Some(status)
         }
@@ -69,90 +71,90 @@
     }
 }
 
-/// The same through another instance.
-async fn give_through(inst: &Rc<Instance>, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
-    let began = inst.now();
+/// Sends an order through another instance. Tries up to [`RELAYS`] instances in turn.
+async fn send_relayed(inst: &Rc<Instance>, group: &Group, up: &Upstream, order: &Order) -> Option<Status> {
+    let started = inst.now();
     for _ in 0..RELAYS {
-        let Some(peer) = it.fit_peer(inst, &Owner::Shared) else { break };
+        let Some(peer) = up.fit_peer(inst, &Owner::Shared) else { break };
         let sent = inst.now();
-        it.asked.set(sent);
-        let ask = Ask::Order { server: it.entry().as_ref().into(), order: order.clone() };
-        match timeout(ORDER_LIMIT, peer.ask(inst, ask)).await {
+        up.asked.set(sent);
+        let request = Ask::Order { server: up.entry().as_ref().into(), order: order.clone() };
+        match timeout(ORDER_LIMIT, peer.ask(inst, request)).await {
             Ok(Told::Status(Some(status))) => {
-                group.saw(it, status, sent, inst.now());
+                group.saw(up, status, sent, inst.now());
                 return Some(status);
             }
             Ok(Told::Gone) => {
-                it.refuse(inst.now());
+                up.refuse(inst.now());
                 return None;
             }
-            _ => it.unfit(&peer.name, inst.now(), false),
+            _ => up.unfit(&peer.name, inst.now(), false),
         }
     }
-    it.unanswered(began);
+    up.unanswered(started);
     None
 }
 
-/// The same over a connection of this instance. Where a kept one gives no answer, a new one is tried: open
-/// connections can fall silent for good while new ones work.
-pub async fn send_direct(inst: &Instance, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
-    match exchange(inst, group, it, order).await {
-        Err(Unanswered::Kept) => exchange(inst, group, it, order).await.ok(),
+/// Sends an order over a connection of this instance. If a pooled connection yields no answer, a new connection is
+/// tried: open connections can stop delivering packets for good while new ones work.
+pub async fn send_direct(inst: &Instance, group: &Group, up: &Upstream, order: &Order) -> Option<Status> {
+    match exchange(inst, group, up, order).await {
+        Err(OrderError::PooledConnection) => exchange(inst, group, up, order).await.ok(),
         outcome => outcome.ok(),
     }
 }
 
-/// Why there is no answer to an order.
-enum Unanswered {
-    /// Over a connection that had been kept.
-    Kept,
-    /// Otherwise.
+/// An order without an answer.
+enum OrderError {
+    /// A pooled connection yielded no answer. A new connection may work.
+    PooledConnection,
+    /// A new connection yielded no answer, or there was no connection.
     Failed,
 }
 
-/// Gives an order over one connection.
+/// Sends an order over one connection and waits for the server's status.
 async fn exchange(
     inst: &Instance,
     group: &Group,
-    it: &Upstream,
+    up: &Upstream,
     order: &Order,
-) -> Result<Status, Unanswered> {
+) -> Result<Status, OrderError> {
     let want = Want { priority: 0, until: Instant::now() + ASK_WAIT, values: None, owner: None };
-    let server = it.entry();
-    let mut lease = match it.pool.lend(inst, &server, want).await {
+    let server = up.entry();
+    let mut lease = match up.pool.lend(inst, &server, want).await {
         Ok(lease) => lease,
-        Err(Denied::Busy | Denied::Full) => return Err(Unanswered::Failed),
+        Err(Denied::Busy | Denied::Full) => return Err(OrderError::Failed),
         Err(Denied::Unreachable(e)) => {
             log::debug!(server = server.id.as_str(); "{e}");
-            it.failed(inst.now(), e.is_refusal());
-            return Err(Unanswered::Failed);
+            up.failed(inst.now(), e.is_refusal());
+            return Err(OrderError::Failed);
         }
     };
-    let why = if lease.is_new() { Unanswered::Failed } else { Unanswered::Kept };
+    let error = if lease.is_new() { OrderError::Failed } else { OrderError::PooledConnection };
     let sent = inst.now();
     inst.counters.one(Count::Orders);
     let dialect = inst.edge.dialect.as_ref();
-    it.asked.set(sent);
-    it.sent.set(Some(sent));
-    let Some(conn) = lease.conn() else { return Err(Unanswered::Failed) };
+    up.asked.set(sent);
+    up.sent.set(Some(sent));
+    let Some(conn) = lease.conn() else { return Err(OrderError::Failed) };
     let answer = timeout(ORDER_LIMIT, conn.order(dialect, order)).await;
-    it.sent.set(None);
+    up.sent.set(None);
     let answer = match answer {
-        Ok(Ok(it)) => it,
+        Ok(Ok(answer)) => answer,
         Ok(Err(e)) => {
             log::debug!(server = server.id.as_str(); "{e}");
-            it.unanswered(sent);
-            return Err(why);
+            up.unanswered(sent);
+            return Err(error);
         }
         Err(_) => {
-            it.failed(sent, false);
-            return Err(why);
+            up.failed(sent, false);
+            return Err(error);
         }
     };
     lease.give_back();
-    it.direct.set(true);
-    it.answered(inst.now());
-    let status = dialect.status(&answer).ok_or(Unanswered::Failed)?;
-    group.saw(it, status, sent, inst.now());
+    up.direct.set(true);
+    up.answered(inst.now());
+    let status = dialect.status(&answer).ok_or(OrderError::Failed)?;
+    group.saw(up, status, sent, inst.now());
     Ok(status)
 }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -1,8 +1,9 @@
-//! Operations within the quotas of organisations.
+//! Quota enforcement for organisations across all instances.
 //!
-//! What is granted where is decided in [`pondtrack_core::quota`]; here are the messages. Each instance lends its shares to
-//! the limiters that it finds by hashing, one for each slot, and asks these before an operation runs. One that can't reach
-//! a limiter lends to the next, so that either side of a cut has the shares of its instances, and no more.
+//! [`pondtrack_core::quota`] decides on loans and grants; this module exchanges the messages. Each instance lends its
+//! shares to one limiter for each slot, chosen by rendezvous hashing, and requests a grant from the limiter before an
+//! operation runs. An instance that can't reach a limiter lends to the next candidate, so that each side of a network
+//! partition has the shares of its own instances, and no more.
 
 use {
     crate::{
@@ -11,7 +12,7 @@
         message::{Claim, Told},
         model::Desired,
         organisation::Owner,
-        statement::Work,
+        statement::Execution,
     },
     pondtrack_core::{
         quota::{Demand, Grant, Lender, Limiter, Limits, Pacing, Places, SLOTS, Stamp, TERM, Urgency, slot},
@@ -29,123 +30,127 @@
 mod claims;
 mod lending;
 
-use self::claims::Waiting;
+use self::claims::PendingClaim;
 pub use self::lending::run;
 
-/// Time for a limiter's answer: a crossing of zones and a busy instance; callers wait meanwhile.
-const LIMIT: Duration = Duration::from_millis(150);
-/// The same for this long after the start, when limiters may come up a moment later: within the first period.
-const START: Duration = Duration::from_millis(3_000);
-/// How long an operation waits then for a limiter that has shares. Its caller would only come back as soon, and does so
-/// twice at most.
-const START_WAIT: Duration = Duration::from_millis(400);
-/// Between two looks meanwhile.
-const START_LOOK: Duration = Duration::from_millis(25);
-/// A smaller number of instances counts only after this long: some may be about to come back.
-const SHRINK: Duration = Duration::from_millis(10_000);
-/// The part of the tolerated operations that full buckets use, and again each new limiter; the rest is for limiters that
-/// start again and for what is granted ahead.
-const MARGIN_SHARE: f64 = 0.25;
-/// The time that callers have left is told in steps of this length, so that those who come together are claimed for
-/// together.
-const LEFT_STEP: Micros = 50_000;
-
-/// The answer where no limiter is known, and of one that has no share.
-const UNPLACED: Grant = Grant::Refused(Places::at(TERM));
-
-/// How many instances share the limits: the most that were counted lately.
+/// The timeout for a limiter's response to claims: a cross-zone round trip and a busy instance. Callers wait meanwhile.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(150);
+/// The time after the start of the process during which an operation waits for a limiter. Limiters may come up a moment
+/// later than this instance, within the first period.
+const STARTUP: Duration = Duration::from_millis(3_000);
+/// The longest wait of an operation for a limiter that has shares, during [`STARTUP`]. A refused caller would retry
+/// after the same time, and retries at most twice.
+const STARTUP_WAIT: Duration = Duration::from_millis(400);
+/// The interval between claims during that wait.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// The delay before a smaller number of instances takes effect, as some may be about to return.
+const SHRINK_DELAY: Duration = Duration::from_millis(10_000);
+/// The fraction of the tolerated excess that full buckets may use, and each new limiter once more. The rest covers
+/// limiters that restart and tokens granted ahead of time.
+const MARGIN_FRACTION: f64 = 0.25;
+/// The step in microseconds to which a caller's remaining time is rounded down, so that operations that arrive together
+/// share a claim.
+const REMAINING_STEP: Micros = 50_000;
+
+/// The grant while no limiter is known, and that of a limiter that has no shares.
+const NO_LIMITER: Grant = Grant::Refused(Places::at(TERM));
+
+/// The number of instances that share the limits: the highest recent count.
 #[derive(Clone, Copy, Default)]
-struct Counted {
-    most: usize,
-    /// When there were last as many.
+struct InstanceCount {
+    max: usize,
+    /// The last time with that count.
     at: Micros,
 }
 
-impl Counted {
-    fn note(&mut self, n: usize, now: Micros) {
-        if n >= self.most || self.is_old(now) {
-            *self = Counted { most: n, at: now };
+impl InstanceCount {
+    fn observe(&mut self, n: usize, now: Micros) {
+        if n >= self.max || self.is_stale(now) {
+            *self = InstanceCount { max: n, at: now };
         }
     }
 
-    fn is_old(self, now: Micros) -> bool {
-        now.saturating_sub(self.at) >= micros(SHRINK)
+    fn is_stale(self, now: Micros) -> bool {
+        now.saturating_sub(self.at) >= micros(SHRINK_DELAY)
     }
 }
 
-/// The limits of organisations, as one instance keeps them.
+/// The quota state of one instance, in its roles as lender, as limiter and as client of other limiters.
 pub struct Quotas {
     lender: RefCell<Lender>,
     limiter: RefCell<Limiter>,
-    /// The limiter of each slot; none before the others were counted.
+    /// The limiter of each slot; none until the other instances are known.
     limiters: RefCell<Option<[Name; SLOTS]>>,
-    /// The same if all instances could be reached.
-    usual: RefCell<Option<[Name; SLOTS]>>,
-    /// The last moments that limiters told, sorted by name.
-    stamps: RefCell<Vec<(Name, Stamp)>>,
-    /// When limiters are told something.
-    pacing: RefCell<Pacing>,
-    /// Operations that wait, by limiter; a list that is there is being worked on.
-    queues: RefCell<Vec<(Name, Vec<Waiting>)>>,
-    /// Organisations without room, and what their callers were told.
+    /// The limiter that each slot has if all instances are reachable.
+    preferred: RefCell<Option<[Name; SLOTS]>>,
+    /// The last timestamp of each limiter's clock, sorted by name.
+    timestamps: RefCell<Vec<(Name, Stamp)>>,
+    /// The schedule of the messages to limiters.
+    renewals: RefCell<Pacing>,
+    /// The queued claims for each limiter. An entry exists while a task sends that limiter's claims.
+    pending: RefCell<Vec<(Name, Vec<PendingClaim>)>>,
+    /// The organisations that were refused lately, with the retry times that their callers got.
     refusals: RefCell<Refusals>,
-    /// Whether routes differ in priority, in a version of the configuration.
-    mixed: Cell<Option<(u64, bool)>>,
-    /// Instances as this one has counted them.
-    count: Cell<Counted>,
-    /// The same as others told. It is told to nobody else, so that a number that was right once isn't told in circles.
-    told: Cell<Counted>,
-    /// When another instance last answered.
-    answered: Cell<Micros>,
-    /// Whether this instance is new to others that were there before.
-    new: Cell<bool>,
+    /// A version of the configuration, and true if its routes differ in priority.
+    mixed_priorities: Cell<Option<(u64, bool)>>,
+    /// The instances that this one has counted itself.
+    counted: Cell<InstanceCount>,
+    /// The highest count that other instances reported. It isn't reported to other instances in turn, as an outdated
+    /// count would otherwise circulate between them.
+    reported: Cell<InstanceCount>,
+    /// The time of the last response from another instance.
+    last_response_at: Cell<Micros>,
+    /// True if this instance has joined others that were running before and don't know it yet.
+    is_joining: Cell<bool>,
+    /// The sequence number of the last loan message.
     seq: Cell<u64>,
 }
 
 impl Quotas {
-    /// Nothing is known yet; `process` tells the processes apart that an instance runs as.
+    /// Creates the state of an instance that has just started. `process` distinguishes this process from earlier
+    /// processes of the same instance.
     pub fn new(process: u64, now: Micros) -> Quotas {
         Quotas {
             lender: RefCell::new(Lender::new(now)),
             limiter: RefCell::new(Limiter::new(process)),
             limiters: RefCell::default(),
-            usual: RefCell::default(),
-            stamps: RefCell::default(),
-            pacing: RefCell::default(),
-            queues: RefCell::default(),
+            preferred: RefCell::default(),
+            timestamps: RefCell::default(),
+            renewals: RefCell::default(),
+            pending: RefCell::default(),
             refusals: RefCell::default(),
-            mixed: Cell::default(),
-            count: Cell::default(),
-            told: Cell::default(),
-            answered: Cell::default(),
-            new: Cell::default(),
+            mixed_priorities: Cell::default(),
+            counted: Cell::default(),
+            reported: Cell::default(),
+            last_response_at: Cell::default(),
+            is_joining: Cell::default(),
             seq: Cell::default(),
         }
     }
 
-    /// This instance has come to others that don't know it yet.
+    /// Marks this instance as new to other instances that were running before it.
     pub fn set_joining(&self) {
-        self.new.set(true);
+        self.is_joining.set(true);
     }
 
     /// Waits until an operation may run.
     ///
     /// # Errors
     ///
-    /// When there is room for it, if that is later than a caller should wait.
-    pub async fn admit(&self, work: &Work<'_>) -> Result<(), RetryAfter> {
-        let inst = &work.inst;
-        let Owner::Organisation(organisation) = &work.owner else { return Ok(()) };
+    /// [`RetryAfter`] with the time at which the quota has room, if that is later than the operation should wait.
+    pub async fn admit(&self, execution: &Execution<'_>) -> Result<(), RetryAfter> {
+        let inst = &execution.inst;
+        let Owner::Organisation(organisation) = &execution.owner else { return Ok(()) };
         let Some(limits) = limits(inst, organisation) else { return Ok(()) };
-        let urgency = self.urgency(work);
-        if let Some(told) = self.refusals.borrow_mut().known(organisation, urgency, inst.now()) {
+        let urgency = self.urgency(execution);
+        if let Some(retry_after) = self.refusals.borrow_mut().known(organisation, urgency, inst.now()) {
             inst.counters.one(Count::ToldBefore);
-            return Err(told);
+            return Err(retry_after);
         }
-        let end = (inst.now() + micros(START_WAIT)).min(micros(START));
+        let startup_deadline = (inst.now() + micros(STARTUP_WAIT)).min(micros(STARTUP));
         let mut grant = self.claim(inst, organisation, limits, urgency).await;
-        while grant == UNPLACED && inst.now() < end {
-            sleep(START_LOOK).await;
+        while grant == NO_LIMITER && inst.now() < startup_deadline {
+            sleep(STARTUP_POLL_INTERVAL).await;
             grant = self.claim(inst, organisation, limits, urgency).await;
         }
         match grant {
@@ -155,29 +160,31 @@
                 Ok(())
             }
             Grant::Refused(places) => {
-                let told = self.refusals.borrow_mut().refused(organisation, urgency, places, inst.now());
-                count(inst, places, told);
-                Err(told)
+                let retry_after =
+                    self.refusals.borrow_mut().refused(organisation, urgency, places, inst.now());
+                count_refusal(inst, places, retry_after);
+                Err(retry_after)
             }
         }
     }
 
-    /// How urgent an operation is; none where all routes are as urgent.
-    fn urgency(&self, work: &Work) -> Option<Urgency> {
-        let desired = work.inst.desired()?;
-        let mixed = match self.mixed.get() {
-            Some((version, it)) if version == desired.version => it,
+    /// The urgency of an operation; none if all routes have the same priority.
+    fn urgency(&self, execution: &Execution) -> Option<Urgency> {
+        let config = execution.inst.desired()?;
+        let mixed = match self.mixed_priorities.get() {
+            Some((version, mixed)) if version == config.version => mixed,
             _ => {
-                let it = is_mixed(&desired);
-                self.mixed.set(Some((desired.version, it)));
-                it
+                let mixed = has_mixed_priorities(&config);
+                self.mixed_priorities.set(Some((config.version, mixed)));
+                mixed
             }
         };
-        let left = micros(work.end.saturating_duration_since(Instant::now())) / LEFT_STEP * LEFT_STEP;
-        mixed.then_some(Urgency { priority: work.route.priority, left })
+        let left = micros(execution.deadline.saturating_duration_since(Instant::now())) / REMAINING_STEP
+            * REMAINING_STEP;
+        mixed.then_some(Urgency { priority: execution.route.priority, left })
     }
 
-    /// Claims an operation where the organisation's limiter is, as far as is known.
+    /// Claims an operation at the limiter of the organisation's slot.
     async fn claim(
         &self,
         inst: &Rc<Instance>,
@@ -185,55 +192,55 @@
         limits: Limits,
         urgency: Option<Urgency>,
     ) -> Grant {
-        let limiter = self.limiters.borrow().as_ref().map(|it| it[slot(organisation)].clone());
+        let limiter = self.limiters.borrow().as_ref().map(|limiters| limiters[slot(organisation)].clone());
         match limiter {
-            None => UNPLACED,
-            Some(it) if it == inst.settings.name => {
+            None => NO_LIMITER,
+            Some(name) if name == inst.settings.name => {
                 let demand = Demand { count: 1, urgency };
                 self.limiter.borrow_mut().claim(organisation, limits, demand, inst.now())
             }
-            Some(it) => self.ask(inst, it, organisation, urgency).await,
+            Some(name) => self.claim_remote(inst, name, organisation, urgency).await,
         }
     }
 
-    /// Answers another instance that has operations to run.
+    /// Handles the claims of another instance, and returns a grant for each.
     pub fn handle_claims(&self, inst: &Instance, claims: &[Claim]) -> Told {
         let now = inst.now();
         let mut limiter = self.limiter.borrow_mut();
-        let grant = |it: &Claim| match limits(inst, &it.organisation) {
-            Some(limits) => limiter.claim(&it.organisation, limits, it.demand, now),
-            // Which organisations there are may be known here only later.
+        let grant = |claim: &Claim| match limits(inst, &claim.organisation) {
+            Some(limits) => limiter.claim(&claim.organisation, limits, claim.demand, now),
+            // The configuration that adds the organisation may not have arrived here yet.
             None => Grant::Refused(Places::at(0)),
         };
         Told::Granted(claims.iter().map(grant).collect())
     }
 }
 
-fn note(cell: &Cell<Counted>, n: usize, now: Micros) {
-    let mut it = cell.get();
-    it.note(n, now);
-    cell.set(it);
+fn observe(cell: &Cell<InstanceCount>, n: usize, now: Micros) {
+    let mut count = cell.get();
+    count.observe(n, now);
+    cell.set(count);
 }
 
-/// What limits an organisation; none where nothing does.
+/// The limits of an organisation; none if it has no quota.
 fn limits(inst: &Instance, organisation: &Name) -> Option<Limits> {
-    let desired = inst.desired()?;
-    let quota = desired.organisations.as_ref()?.find(organisation)?.quota?;
-    Some(quota.limits(f64::from(inst.bounds.get().quota_margin) * MARGIN_SHARE))
+    let config = inst.desired()?;
+    let quota = config.organisations.as_ref()?.find(organisation)?.quota?;
+    Some(quota.limits(f64::from(inst.bounds.get().quota_margin) * MARGIN_FRACTION))
 }
 
-/// Whether some routes are more urgent than others.
-fn is_mixed(desired: &Desired) -> bool {
-    desired.routes.windows(2).any(|it| it[0].priority != it[1].priority)
+/// Returns true if the routes of a configuration differ in priority.
+fn has_mixed_priorities(config: &Desired) -> bool {
+    config.routes.windows(2).any(|pair| pair[0].priority != pair[1].priority)
 }
 
-/// Counts a refusal, by its cause.
-fn count(inst: &Instance, places: Places, told: RetryAfter) {
+/// Counts a refusal by its cause.
+fn count_refusal(inst: &Instance, places: Places, retry_after: RetryAfter) {
     inst.counters.one(Count::OverLimit);
     if places.reserved {
         inst.counters.one(Count::Reserved);
     }
-    if matches!(told, RetryAfter::TooLate { .. }) {
+    if matches!(retry_after, RetryAfter::TooLate { .. }) {
         inst.counters.one(Count::TooLate);
     }
 }
--- a/crates/engine/src/quota/claims.rs
+++ b/crates/engine/src/quota/claims.rs
@@ -1,7 +1,7 @@
-//! Operations that wait for a limiter's word.
+//! Claims at remote limiters, sent in batches.
 
 use {
-    super::{LIMIT, Quotas, UNPLACED},
+    super::{CLAIM_TIMEOUT, NO_LIMITER, Quotas},
     crate::{
         count::Count,
         instance::Instance,
@@ -13,103 +13,103 @@
     tokio::{sync::oneshot, time::timeout},
 };
 
-/// An operation that waits for a limiter's word.
-pub(super) struct Waiting {
+/// An operation that waits for a limiter's grant.
+pub(super) struct PendingClaim {
     organisation: Name,
     urgency: Option<Urgency>,
-    word: oneshot::Sender<Grant>,
+    reply: oneshot::Sender<Grant>,
 }
 
 impl Quotas {
-    /// Asks a limiter for an operation, together with others that come meanwhile.
-    pub(super) async fn ask(
+    /// Claims an operation at a remote limiter. Claims that arrive while a request is in flight share the next request.
+    pub(super) async fn claim_remote(
         &self,
         inst: &Rc<Instance>,
         limiter: Name,
         organisation: &Name,
         urgency: Option<Urgency>,
     ) -> Grant {
-        let (word, got) = oneshot::channel();
-        if self.put_queue(&limiter, Waiting { organisation: organisation.clone(), urgency, word }) {
-            tokio::task::spawn_local(ask_all(inst.clone(), limiter));
+        let (reply, grant) = oneshot::channel();
+        if self.enqueue(&limiter, PendingClaim { organisation: organisation.clone(), urgency, reply }) {
+            tokio::task::spawn_local(send_claims(inst.clone(), limiter));
         }
-        got.await.unwrap_or(UNPLACED)
+        grant.await.unwrap_or(NO_LIMITER)
     }
 
-    /// Adds an operation to those that wait for a limiter; says whether nobody works on its list yet.
-    fn put_queue(&self, limiter: &Name, it: Waiting) -> bool {
-        let mut queues = self.queues.borrow_mut();
-        match queues.iter_mut().find(|it| it.0 == *limiter) {
-            Some((_, waiting)) => {
-                waiting.push(it);
+    /// Queues a claim for a limiter. Returns true if no task sends the limiter's claims yet.
+    fn enqueue(&self, limiter: &Name, claim: PendingClaim) -> bool {
+        let mut pending = self.pending.borrow_mut();
+        match pending.iter_mut().find(|entry| entry.0 == *limiter) {
+            Some((_, queue)) => {
+                queue.push(claim);
                 false
             }
             None => {
-                queues.push((limiter.clone(), vec![it]));
+                pending.push((limiter.clone(), vec![claim]));
                 true
             }
         }
     }
 
-    /// The operations that wait for a limiter; none ends the work on its list.
-    fn take_queue(&self, limiter: &Name) -> Option<Vec<Waiting>> {
-        let mut queues = self.queues.borrow_mut();
-        let at = queues.iter().position(|it| it.0 == *limiter)?;
-        let waiting = std::mem::take(&mut queues[at].1);
-        if waiting.is_empty() {
-            queues.remove(at);
+    /// Takes the queued claims for a limiter. Removes the queue and returns none if it is empty; the task then ends.
+    fn take_queue(&self, limiter: &Name) -> Option<Vec<PendingClaim>> {
+        let mut pending = self.pending.borrow_mut();
+        let i = pending.iter().position(|entry| entry.0 == *limiter)?;
+        let queue = std::mem::take(&mut pending[i].1);
+        if queue.is_empty() {
+            pending.remove(i);
             return None;
         }
-        Some(waiting)
+        Some(queue)
     }
 }
 
-/// Asks a limiter for operations as long as any wait for it.
-async fn ask_all(inst: Rc<Instance>, limiter: Name) {
-    let limit = &inst.quotas;
-    while let Some(mut waiting) = limit.take_queue(&limiter) {
-        // Whoever has stopped waiting needs no token.
-        waiting.retain(|it| !it.word.is_closed());
-        if waiting.is_empty() {
+/// Sends the queued claims for a limiter until its queue is empty.
+async fn send_claims(inst: Rc<Instance>, limiter: Name) {
+    let quotas = &inst.quotas;
+    while let Some(mut queue) = quotas.take_queue(&limiter) {
+        // Operations that have been cancelled need no token.
+        queue.retain(|claim| !claim.reply.is_closed());
+        if queue.is_empty() {
             continue;
         }
-        waiting.sort_by(|a, b| (&a.organisation, a.urgency).cmp(&(&b.organisation, b.urgency)));
-        let claims: Vec<Claim> = waiting
+        queue.sort_by(|a, b| (&a.organisation, a.urgency).cmp(&(&b.organisation, b.urgency)));
+        let claims: Vec<Claim> = queue
             .chunk_by(|a, b| a.organisation == b.organisation && a.urgency == b.urgency)
-            .map(|it| {
-                let demand = Demand { count: it.len() as u32, urgency: it[0].urgency };
-                Claim { organisation: it[0].organisation.clone(), demand }
+            .map(|same| {
+                let demand = Demand { count: same.len() as u32, urgency: same[0].urgency };
+                Claim { organisation: same[0].organisation.clone(), demand }
             })
             .collect();
-        let told = match inst.peer(&limiter) {
-            Some(peer) => timeout(LIMIT, peer.ask(&inst, Ask::Claim(claims.clone()))).await.ok(),
+        let response = match inst.peer(&limiter) {
+            Some(peer) => timeout(CLAIM_TIMEOUT, peer.ask(&inst, Ask::Claim(claims.clone()))).await.ok(),
             None => None,
         };
-        let grants = match told {
-            Some(Told::Granted(it)) if it.len() == claims.len() => it,
+        let grants = match response {
+            Some(Told::Granted(grants)) if grants.len() == claims.len() => grants,
             _ => {
-                limit.pacing.borrow_mut().doubted(&limiter, inst.random(u64::MAX), inst.now());
-                limit.place(&inst);
-                vec![UNPLACED; claims.len()]
+                quotas.renewals.borrow_mut().doubted(&limiter, inst.random(u64::MAX), inst.now());
+                quotas.assign_limiters(&inst);
+                vec![NO_LIMITER; claims.len()]
             }
         };
-        let mut waiting = waiting.into_iter();
+        let mut queue = queue.into_iter();
         for (claim, grant) in claims.iter().zip(grants) {
-            let all = waiting.by_ref().take(claim.demand.count as usize);
-            hand_out(&inst, all.map(|it| it.word), grant);
+            let batch = queue.by_ref().take(claim.demand.count as usize);
+            distribute(&inst, batch.map(|claim| claim.reply), grant);
         }
     }
 }
 
-/// Tells those who were claimed for together. The token of one that has stopped waiting is the next one's; if there is none,
-/// it is left unused.
-fn hand_out(inst: &Instance, words: impl Iterator<Item = oneshot::Sender<Grant>>, grant: Grant) {
-    let mut told = 0;
-    for (n, word) in words.enumerate() {
-        let (first, own) = (grant.nth(told), grant.nth(n as u32));
-        if word.send(first).is_ok() {
-            told += 1;
-            if matches!((first, own), (Grant::Granted { .. }, Grant::Refused(_))) {
+/// Distributes a grant among the operations of one claim. The token of a cancelled operation goes to the next
+/// operation; after the last one it stays unused.
+fn distribute(inst: &Instance, replies: impl Iterator<Item = oneshot::Sender<Grant>>, grant: Grant) {
+    let mut delivered = 0;
+    for (n, reply) in replies.enumerate() {
+        let (actual, own) = (grant.nth(delivered), grant.nth(n as u32));
+        if reply.send(actual).is_ok() {
+            delivered += 1;
+            if matches!((actual, own), (Grant::Granted { .. }, Grant::Refused(_))) {
                 inst.counters.one(Count::PassedOn);
             }
         }
--- a/crates/engine/src/quota/lending.rs
+++ b/crates/engine/src/quota/lending.rs
@@ -1,7 +1,7 @@
-//! Shares of limits: which instance is the limiter of which slot, and what is lent to it.
+//! The assignment of slots to limiters, and the loans of this instance's shares to them.
 
 use {
-    super::{Quotas, note},
+    super::{Quotas, observe},
     crate::{
         count::Count,
         instance::{Instance, Micros, micros},
@@ -16,105 +16,107 @@
     tokio::time::{sleep, timeout},
 };
 
-/// The longest time between two looks at which limiters there are, until all shares are with theirs.
-const FIRST_LOOK: Duration = Duration::from_millis(50);
-/// The shortest.
-const LEAST_LOOK: Duration = Duration::from_millis(5);
-/// An instance that no other answers for so many periods is its own limiter.
-const ALONE: u64 = 3;
-/// An instance that is new to the others counts itself as one of them only after this long: until then they divide the
-/// limits among fewer. They learn of each other within 7 s.
-const SETTLE: Duration = Duration::from_millis(8_000);
-/// A process that has heard of no other instance takes itself for the only one only after this long, unless the whole fleet
-/// starts for the first time: the store may have come back from a copy without the entries of the others, which are
-/// written again within this time.
-const LONELY: Duration = Duration::from_millis(4_000);
+/// The longest delay between two lending rounds until every share is lent to its limiter.
+const MAX_PLACEMENT_DELAY: Duration = Duration::from_millis(50);
+/// The shortest delay between two lending rounds.
+const MIN_DELAY: Duration = Duration::from_millis(5);
+/// The number of periods without a response from any other instance after which an instance becomes its own limiter.
+const ISOLATION_PERIODS: u64 = 3;
+/// The time after its start from which an instance that joins others lends a share of its own. Until the others know
+/// it, they divide the limits among fewer instances. Instances discover each other within 7 s.
+const JOIN_DELAY: Duration = Duration::from_millis(8_000);
+/// The time after its start from which a process without a response from another instance may act as the only one,
+/// unless the whole fleet starts for the first time. The store may have been restored from a copy without the other
+/// instances' entries, which are rewritten within this time.
+const SOLE_INSTANCE_DELAY: Duration = Duration::from_millis(4_000);
 
 impl Quotas {
-    /// Answers another instance that lends its shares.
-    pub fn handle_loan(&self, inst: &Instance, it: &Lending) -> Told {
+    /// Handles a loan of shares from another instance or from this one.
+    pub fn handle_loan(&self, inst: &Instance, loan: &Lending) -> Told {
         let now = inst.now();
         let leaving = inst.leaving().is_some();
-        if it.from != inst.settings.name {
+        if loan.from != inst.settings.name {
             inst.counters.one(Count::Lent);
         }
-        let slots = if leaving { Slots::default() } else { it.slots };
+        let slots = if leaving { Slots::default() } else { loan.slots };
         let mut limiter = self.limiter.borrow_mut();
-        let offer = Offer { slots, share: it.share, since: it.since, term: it.term };
-        let answer = limiter.offered(&it.from, it.seq, offer, now);
-        let version = inst.desired().map(|it| it.version);
-        let age = inst.unconfirmed().map(|it| (it / 1_000) as u32);
-        let count = self.count.get().most as u32;
+        let offer = Offer { slots, share: loan.share, since: loan.since, term: loan.term };
+        let answer = limiter.offered(&loan.from, loan.seq, offer, now);
+        let version = inst.desired().map(|config| config.version);
+        let age = inst.unconfirmed().map(|age| (age / 1_000) as u32);
+        let count = self.counted.get().max as u32;
         Told::Lent { answer, stamp: limiter.stamp(now), leaving, count, confirmed: version.zip(age) }
     }
 
-    /// Counts the instances that share the limits, and finds the limiter of each slot.
-    pub(super) fn place(&self, inst: &Instance) {
+    /// Counts the instances that share the limits, and assigns a limiter to each slot.
+    pub(super) fn assign_limiters(&self, inst: &Instance) {
         let Some(peers) = inst.peers() else { return };
         let now = inst.now();
-        note(&self.count, peers.len() + 1, now);
+        observe(&self.counted, peers.len() + 1, now);
         let me = &inst.settings.name;
-        let unfit: Vec<Name> = self.pacing.borrow().lost().cloned().collect();
-        let silent = now.saturating_sub(self.answered.get());
-        let is_alone = !unfit.is_empty() && silent >= ALONE * self.pacing.borrow().period();
-        let fits = |it: &Name| !is_alone && !unfit.contains(it);
+        let unreachable: Vec<Name> = self.renewals.borrow().lost().cloned().collect();
+        let silence = now.saturating_sub(self.last_response_at.get());
+        let is_isolated =
+            !unreachable.is_empty() && silence >= ISOLATION_PERIODS * self.renewals.borrow().period();
+        let is_reachable = |name: &Name| !is_isolated && !unreachable.contains(name);
         let own = inst.own_candidate();
-        let mut all: Vec<Candidate<'_>> = peers.iter().map(|it| inst.candidate(it)).collect();
-        let mut others = all.clone();
-        others.retain(|it| fits(it.name));
-        if inst.leaving().is_none() || others.is_empty() {
-            others.push(own);
+        let mut all: Vec<Candidate<'_>> = peers.iter().map(|peer| inst.candidate(peer)).collect();
+        let mut available = all.clone();
+        available.retain(|candidate| is_reachable(candidate.name));
+        if inst.leaving().is_none() || available.is_empty() {
+            available.push(own);
         }
         all.push(own);
-        let first = |slot: usize, all: &[Candidate<'_>]| {
-            place::best(&format!("limit {slot}"), all).unwrap_or(me).clone()
+        let best = |slot: usize, candidates: &[Candidate<'_>]| {
+            place::best(&format!("limit {slot}"), candidates).unwrap_or(me).clone()
         };
-        let fit = std::array::from_fn(|slot| first(slot, &others));
-        let usual = std::array::from_fn(|slot| first(slot, &all));
-        let before = peers.partition_point(|it| it.name < *me);
-        let mut pacing = self.pacing.borrow_mut();
-        pacing.set_fleet(before, self.counted(now));
-        if let Some(old) = self.limiters.replace(Some(fit.clone())) {
-            pacing.moved(&old, &fit, now);
+        let limiters = std::array::from_fn(|slot| best(slot, &available));
+        let preferred = std::array::from_fn(|slot| best(slot, &all));
+        let index = peers.partition_point(|peer| peer.name < *me);
+        let mut renewals = self.renewals.borrow_mut();
+        renewals.set_fleet(index, self.instance_count(now));
+        if let Some(old) = self.limiters.replace(Some(limiters.clone())) {
+            renewals.moved(&old, &limiters, now);
         }
-        *self.usual.borrow_mut() = Some(usual);
+        *self.preferred.borrow_mut() = Some(preferred);
     }
 
-    /// The limiter of each slot, as this instance finds it; none before the others were counted.
+    /// The limiter of each slot in this instance's view; none until the other instances are known.
     pub fn limiters(&self) -> Option<Vec<Name>> {
-        self.limiters.borrow().as_ref().map(|it| it.to_vec())
+        self.limiters.borrow().as_ref().map(|limiters| limiters.to_vec())
     }
 
-    /// This instance's share of each limit.
+    /// This instance's share of each limit, from 0 to 1.
     fn share(&self, inst: &Instance, now: Micros) -> f64 {
-        let is_known = !self.new.get() || now >= micros(SETTLE);
-        let lonely = self.answered.get() == 0 && now < micros(LONELY);
-        if !is_known || lonely && !inst.settings.first_start {
+        let has_joined = !self.is_joining.get() || now >= micros(JOIN_DELAY);
+        let maybe_sole = self.last_response_at.get() == 0 && now < micros(SOLE_INSTANCE_DELAY);
+        if !has_joined || maybe_sole && !inst.settings.first_start {
             return 0.0;
         }
-        1.0 / self.counted(now) as f64
+        1.0 / self.instance_count(now) as f64
     }
 
-    /// How many instances share the limits.
-    fn counted(&self, now: Micros) -> usize {
-        let told = Some(self.told.get()).filter(|it| !it.is_old(now)).map_or(0, |it| it.most);
-        self.count.get().most.max(told).max(1)
+    /// The number of instances that share the limits.
+    fn instance_count(&self, now: Micros) -> usize {
+        let reported =
+            Some(self.reported.get()).filter(|count| !count.is_stale(now)).map_or(0, |count| count.max);
+        self.counted.get().max.max(reported).max(1)
     }
 
-    /// A message for an instance: the shares of the slots that are meant for it.
-    fn lending(&self, inst: &Instance, to: &Name) -> Lending {
+    /// Builds the loan message for an instance, with the shares of the slots whose limiter it is.
+    fn loan(&self, inst: &Instance, to: &Name) -> Lending {
         let now = inst.now();
-        let stamps = self.stamps.borrow();
-        let since = stamps.binary_search_by(|it| it.0.cmp(to)).ok().map(|at| stamps[at].1);
+        let timestamps = self.timestamps.borrow();
+        let since = timestamps.binary_search_by(|entry| entry.0.cmp(to)).ok().map(|i| timestamps[i].1);
         let share = self.share(inst, now);
-        let term = self.lender.borrow_mut().set_term(self.pacing.borrow().term());
+        let term = self.lender.borrow_mut().set_term(self.renewals.borrow().term());
         let mut slots = Slots::default();
         if since.is_some()
             && share > 0.0
-            && let (Some(limiters), Some(usual)) = (&*self.limiters.borrow(), &*self.usual.borrow())
+            && let (Some(limiters), Some(preferred)) = (&*self.limiters.borrow(), &*self.preferred.borrow())
         {
-            for (slot, _) in limiters.iter().enumerate().filter(|it| it.1 == to) {
-                if self.lender.borrow_mut().lend(slot, to, usual[slot] == *to, now) {
+            for (slot, _) in limiters.iter().enumerate().filter(|entry| entry.1 == to) {
+                if self.lender.borrow_mut().lend(slot, to, preferred[slot] == *to, now) {
                     slots.insert(slot);
                 }
             }
@@ -124,136 +126,141 @@
         Lending { from, seq: self.seq.get(), slots, share, since, term }
     }
 
-    /// An instance has answered a loan; says whether another message at once makes it whole.
-    fn took(&self, from: &Name, sent: Slots, answer: Reply, stamp: Stamp, now: Micros) -> bool {
-        let back = self.lender.borrow_mut().answered(from, answer);
+    /// Applies an instance's reply to a loan. Returns true if the loan is incomplete and another message, sent
+    /// immediately, can complete it.
+    fn apply_reply(&self, from: &Name, sent: Slots, reply: Reply, timestamp: Stamp, now: Micros) -> bool {
+        let returned = self.lender.borrow_mut().answered(from, reply);
         if let Some(limiters) = &*self.limiters.borrow() {
-            let mut pacing = self.pacing.borrow_mut();
-            // The one that has just answered has its next message in its time.
-            let slots = limiters.iter().enumerate().filter(|it| back.contains(it.0) && it.1 != from);
-            slots.for_each(|it| pacing.hurry(it.1, now));
+            let mut renewals = self.renewals.borrow_mut();
+            // The instance that has just replied gets its next message at its regular time.
+            let slots =
+                limiters.iter().enumerate().filter(|entry| returned.contains(entry.0) && entry.1 != from);
+            slots.for_each(|entry| renewals.hurry(entry.1, now));
         }
-        let mut stamps = self.stamps.borrow_mut();
-        let known = match stamps.binary_search_by(|it| it.0.cmp(from)) {
-            Ok(at) => std::mem::replace(&mut stamps[at].1, stamp).process == stamp.process,
-            Err(at) => {
-                stamps.insert(at, (from.clone(), stamp));
+        let mut timestamps = self.timestamps.borrow_mut();
+        let same_process = match timestamps.binary_search_by(|entry| entry.0.cmp(from)) {
+            Ok(i) => std::mem::replace(&mut timestamps[i].1, timestamp).process == timestamp.process,
+            Err(i) => {
+                timestamps.insert(i, (from.clone(), timestamp));
                 false
             }
         };
-        !known || !answer.is_ignored && answer.used != sent
+        !same_process || !reply.is_ignored && reply.used != sent
     }
 
-    /// How long until the next messages to limiters.
+    /// The delay until the next lending round.
     pub fn next_delay(&self, inst: &Instance) -> Duration {
-        if inst.desired().is_some_and(|it| it.organisations.is_none()) {
+        if inst.desired().is_some_and(|config| config.organisations.is_none()) {
             return Duration::from_micros(PERIOD);
         }
         let now = inst.now();
         let limiters = self.limiters.borrow();
-        let placed = limiters.as_ref().is_some_and(|it| self.lender.borrow().is_placed(it, now));
+        let placed = limiters.as_ref().is_some_and(|limiters| self.lender.borrow().is_placed(limiters, now));
         let is_settled = placed || limiters.is_some() && self.share(inst, now) == 0.0;
-        let most = if is_settled { Duration::from_micros(PERIOD) } else { FIRST_LOOK };
-        let next = self.pacing.borrow().next(now).map_or(most, Duration::from_micros);
-        next.clamp(LEAST_LOOK, most)
+        let max_delay = if is_settled { Duration::from_micros(PERIOD) } else { MAX_PLACEMENT_DELAY };
+        let next = self.renewals.borrow().next(now).map_or(max_delay, Duration::from_micros);
+        next.clamp(MIN_DELAY, max_delay)
     }
 
-    /// The instances that are to be told something now, besides this one.
-    fn audience(&self, inst: &Instance) -> Vec<Name> {
+    /// The instances, other than this one, that are due a loan message: limiters, instances that still hold a share
+    /// meant for another limiter, and lost limiters, which are retried.
+    fn recipients(&self, inst: &Instance) -> Vec<Name> {
         let now = inst.now();
         let Some(limiters) = self.limiters.borrow().clone() else { return Vec::new() };
         let lender = self.lender.borrow();
-        let mut pacing = self.pacing.borrow_mut();
-        let mut out = lender.misplaced(&limiters, now);
-        out.extend(pacing.lost().filter(|it| inst.peer(it).is_some()).cloned());
-        let frees = lender.frees(&limiters, now);
-        out.extend(limiters);
-        out.retain(|it| *it != inst.settings.name);
-        out.sort_unstable();
-        out.dedup();
-        frees.iter().for_each(|it| pacing.hurry(&it.0, it.1));
-        pacing.due(&out, now)
+        let mut renewals = self.renewals.borrow_mut();
+        let mut names = lender.misplaced(&limiters, now);
+        names.extend(renewals.lost().filter(|name| inst.peer(name).is_some()).cloned());
+        let releases = lender.frees(&limiters, now);
+        names.extend(limiters);
+        names.retain(|name| *name != inst.settings.name);
+        names.sort_unstable();
+        names.dedup();
+        releases.iter().for_each(|release| renewals.hurry(&release.0, release.1));
+        renewals.due(&names, now)
     }
 
-    /// An instance can't be a limiter for now.
-    fn missed(&self, inst: &Instance, name: &Name) {
+    /// Records that an instance can't be a limiter for now.
+    fn record_failure(&self, inst: &Instance, name: &Name) {
         inst.counters.one(Count::LimiterLost);
-        self.pacing.borrow_mut().missed(name, inst.random(u64::MAX), inst.now());
+        self.renewals.borrow_mut().missed(name, inst.random(u64::MAX), inst.now());
     }
 }
 
-/// Lends this instance's shares to limiters, for good.
+/// Lends this instance's shares to limiters in rounds. Never returns.
 pub async fn run(inst: Rc<Instance>) {
     loop {
         sleep(inst.quotas.next_delay(&inst)).await;
-        let limited = inst.desired().is_some_and(|it| it.organisations.is_some());
-        if !limited {
+        let has_organisations = inst.desired().is_some_and(|config| config.organisations.is_some());
+        if !has_organisations {
             continue;
         }
-        inst.quotas.place(&inst);
+        inst.quotas.assign_limiters(&inst);
         inst.quotas.limiter.borrow_mut().trim(inst.now());
         inst.quotas.refusals.borrow_mut().trim(inst.now());
-        lend_here(&inst);
-        for name in inst.quotas.audience(&inst) {
+        lend_locally(&inst);
+        for name in inst.quotas.recipients(&inst) {
             tokio::task::spawn_local(lend(inst.clone(), name));
         }
     }
 }
 
-/// This instance is a limiter, for itself too.
-fn lend_here(inst: &Instance) {
-    let limit = &inst.quotas;
+/// Lends shares to this instance's own limiter. The first message only yields the limiter's timestamp; the second
+/// lends.
+fn lend_locally(inst: &Instance) {
+    let quotas = &inst.quotas;
     let me = &inst.settings.name;
     for _ in 0..2 {
-        let lending = limit.lending(inst, me);
-        let Told::Lent { answer, stamp, .. } = limit.handle_loan(inst, &lending) else { return };
-        if !limit.took(me, lending.slots, answer, stamp, inst.now()) {
+        let loan = quotas.loan(inst, me);
+        let Told::Lent { answer, stamp, .. } = quotas.handle_loan(inst, &loan) else { return };
+        if !quotas.apply_reply(me, loan.slots, answer, stamp, inst.now()) {
             return;
         }
     }
 }
 
-/// Lends shares to another instance, or takes them back.
+/// Lends shares to another instance, or recalls them.
 async fn lend(inst: Rc<Instance>, to: Name) {
-    let limit = &inst.quotas;
+    let quotas = &inst.quotas;
     for _ in 0..2 {
         let Some(peer) = inst.peer(&to) else { break };
-        let lending = limit.lending(&inst, &to);
-        let (sent, asked) = (lending.slots, inst.now());
-        let patience = Duration::from_micros(limit.pacing.borrow().patience());
-        match timeout(patience, peer.ask(&inst, Ask::Lend(lending))).await {
+        let loan = quotas.loan(&inst, &to);
+        let (sent, sent_at) = (loan.slots, inst.now());
+        let reply_timeout = Duration::from_micros(quotas.renewals.borrow().patience());
+        match timeout(reply_timeout, peer.ask(&inst, Ask::Lend(loan))).await {
             Ok(Told::Lent { answer, stamp, leaving, count, confirmed }) => {
-                limit.answered.set(inst.now());
-                note(&limit.told, count as usize, inst.now());
-                hear(&inst, confirmed, asked);
-                let again = limit.took(&to, sent, answer, stamp, inst.now());
+                quotas.last_response_at.set(inst.now());
+                observe(&quotas.reported, count as usize, inst.now());
+                confirm_config(&inst, confirmed, sent_at);
+                let incomplete = quotas.apply_reply(&to, sent, answer, stamp, inst.now());
                 if leaving {
-                    limit.missed(&inst, &to);
+                    quotas.record_failure(&inst, &to);
                     break;
                 }
-                let was_lost = limit.pacing.borrow_mut().answered(&to, inst.now());
+                let was_lost = quotas.renewals.borrow_mut().answered(&to, inst.now());
                 if was_lost {
-                    limit.place(&inst);
+                    quotas.assign_limiters(&inst);
                 }
-                if !again {
+                if !incomplete {
                     break;
                 }
             }
             Ok(_) | Err(_) => {
-                limit.missed(&inst, &to);
+                quotas.record_failure(&inst, &to);
                 break;
             }
         }
     }
-    limit.pacing.borrow_mut().ended(&to);
+    quotas.renewals.borrow_mut().ended(&to);
 }
 
-/// Another instance has told, after it was asked, how long ago its configuration was the newest.
-fn hear(inst: &Instance, confirmed: Option<(u64, u32)>, asked: Micros) {
-    let known = inst.desired().map_or(0, |it| it.version);
+/// Confirms the configuration in force if another instance reports that the same or an older version was the newest at
+/// some time. The reported age counts from `sent_at`, when the request was sent, as the age was measured after that.
+fn confirm_config(inst: &Instance, confirmed: Option<(u64, u32)>, sent_at: Micros) {
+    let known = inst.desired().map_or(0, |config| config.version);
     if let Some((version, age_ms)) = confirmed
         && version <= known
     {
-        inst.confirm_desired(asked.saturating_sub(u64::from(age_ms) * 1_000));
+        inst.confirm_desired(sent_at.saturating_sub(u64::from(age_ms) * 1_000));
     }
 }
