--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -249,8 +249,10 @@
 fn check_change(old: &GroupSpec, new: &GroupSpec) -> Result<(), PlanError> {
     let removed = old.servers.iter().filter(|s| new.server_index(&s.name).is_none()).count();
     let added = new.servers.iter().filter(|s| old.server_index(&s.name).is_none()).count();
-    let moved =
-        new.servers.iter().filter(|s| old.server_index(&s.name).is_some_and(|at| old.servers[at].addr != s.addr));
+    let moved = new
+        .servers
+        .iter()
+        .filter(|s| old.server_index(&s.name).is_some_and(|at| old.servers[at].addr != s.addr));
     if removed + added + moved.count() > 0 {
         let reason = "the servers of a group can't be changed while it is in use: a majority of the new \
                       servers might hold none of the old ones' log; create another group";
