--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -165,7 +165,7 @@
         let arrived_at = inst.now();
         let deadline = arrived + route.timeout;
         let allowance = TimeLimits {
-            arrived_at: arrived_at,
+            arrived_at,
             objective: micros(route.objective),
             timeout: micros(route.timeout),
         };
