--- a/crates/core/src/commit_gate.rs
+++ b/crates/core/src/commit_gate.rs
@@ -1,12 +1,12 @@
 //! Quorum acknowledgement: commits are acknowledged once a majority has received them.
 //!
-//! A server counts for a position if it reports the gate's term, and the last entry of its log was written in that term and
-//! is at or after the position. Entries of a term come from the term's primary alone, so the log of such a server is
-//! identical to the primary's up to its last entry. Any later promotion fences a majority, which has a server in common with
-//! the majority counted here, and promotes the server with the highest log.
+//! A server counts for a position if it reports the gate's term, and the last entry of its log was written in that term
+//! and is at or after the position. Entries of a term come from the term's primary alone, so the log of such a server
+//! is identical to the primary's up to its last entry. Any later promotion fences a majority, which has a server in
+//! common with the majority counted here, and promotes the server with the highest log.
 //!
-//! An entry received from the primary of a later term does not count, although the entry is the same: a server with
-//! a shorter log of a term in between could still be promoted and drop the entry. The exhaustive model check in `testbed`
+//! An entry received from the primary of a later term does not count, although the entry is the same: a server with a
+//! shorter log of a term in between could still be promoted and drop the entry. The exhaustive model check in `testbed`
 //! found that case.
 
 use pondtrack_proto::{Lsn, Mark, Term};
@@ -22,7 +22,7 @@
     Ready,
     /// The acknowledgement is pending under this ticket.
     Pending(Ticket),
-    /// The term has ended; only the next primary can tell if the commit survived.
+    /// The term has ended; the next primary must be queried to determine if the commit survived.
     Superseded,
 }
 
--- a/crates/core/src/failure_detector.rs
+++ b/crates/core/src/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Failure detection for primaries.
 //!
-//! A verdict only starts a failover. [`crate::promotion`] and [`crate::commit_gate`] ensure that the failover loses nothing,
-//! so the timeouts here only trade downtime against needless failovers.
+//! A verdict only starts a failover. [`crate::promotion`] and [`crate::commit_gate`] ensure that the failover loses
+//! nothing, so the timeouts here only trade downtime against needless failovers.
 
 use {
     crate::Time,
@@ -87,7 +87,8 @@
         FailureDetector { config, last_poll: None, since: now }
     }
 
-    /// Records a poll. Returns true if this instance was paused since the last one, so that its evidence must be discarded.
+    /// Records a poll. Returns true if this instance was paused since the last one, so that its evidence must be
+    /// discarded.
     pub fn poll(&mut self, now: Time) -> bool {
         let paused = self.last_poll.is_some_and(|at| now.saturating_sub(at) > self.config.pause_threshold);
         self.last_poll = Some(now);
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Returns true if another home's report vetoes a failover from the primary of `term`; for [`Cause::Stranded`], `term` is
-    /// the stranded server's.
+    /// Returns true if another home's report vetoes a failover from the primary of `term`; for [`Cause::Stranded`],
+    /// `term` is the stranded server's.
     ///
     /// A home that reaches a primary of that term or a later one vetoes the failover, unless its own commits wait for
     /// replicas. A stall is only noticed by homes that write, so against a stall only a primary of a later term counts.
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -1,9 +1,9 @@
 //! Staleness of replica reads.
 //!
-//! If the primary's response to a query sent at time *s* shows position *p*, then everything acknowledged before *s* is at
-//! or before *p*. A replica that has applied *p* is therefore complete as of *s*, provided that the primary was still the
-//! primary then. A majority confirms that by reporting the same term in responses to queries sent at *s* or later. Only this
-//! instance's monotonic clock is used; the caller chooses its unit.
+//! If the primary's response to a query sent at time *s* shows position *p*, then everything acknowledged before *s* is
+//! at or before *p*. A replica that has applied *p* is therefore complete as of *s*, provided that the primary was
+//! still the primary then. A majority confirms that by reporting the same term in responses to queries sent at *s* or
+//! later. Only this instance's monotonic clock is used; the caller chooses its unit.
 
 use {
     crate::Time,
@@ -14,15 +14,15 @@
 /// Maximum number of observations kept; at one every 50 ms they cover about a minute.
 const MAX_OBSERVATIONS: usize = 1_200;
 
-/// Returns the age of a status report for a request that arrived at `arrived`; the report's query was sent at `asked`. Both
-/// times are of the reporting instance's clock.
+/// Returns the age of a status report for a request that arrived at `arrived`; the report's query was sent at `asked`.
+/// Both times are of the reporting instance's clock.
 pub fn age(arrived: Time, asked: Time) -> Time {
     arrived.saturating_sub(asked)
 }
 
 /// Returns a lower bound of the time at which the query of a status report of this age was sent, on the clock of the
-/// instance that requested the report at `sent`: the request was sent before it arrived at the reporting instance. None if
-/// the time lies before that clock's start.
+/// instance that requested the report at `sent`: the request was sent before it arrived at the reporting instance. None
+/// if the time lies before that clock's start.
 pub fn asked_at(sent: Time, age: Time) -> Option<Time> {
     sent.checked_sub(age).filter(|at| *at > 0)
 }
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Returns the time as of which a server of `term` that has applied `applied` is complete; none if that isn't known.
+    /// Returns the time as of which a server of `term` that has applied `applied` is complete; none if that isn't
+    /// known.
     pub fn as_of(&self, term: Term, applied: Lsn) -> Option<Time> {
         if term != self.term {
             return None;
@@ -103,8 +104,8 @@
         usable.map(|p| p.0).find(|at| *at <= confirmed)
     }
 
-    /// Returns the lowest known position that includes everything acknowledged before `since`, with the time of its query;
-    /// none if there is none that a majority has confirmed.
+    /// Returns the lowest known position that includes everything acknowledged before `since`, with the time of its
+    /// query; none if there is none that a majority has confirmed.
     pub fn required_position(&self, since: Time) -> Option<(Time, Mark)> {
         let confirmed = self.confirmed_at()?;
         let n = self.positions.partition_point(|p| p.0 < since);
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,9 +1,9 @@
 //! The server that leads a term while the term's primary is unreachable.
 //!
 //! An unreachable server may be the primary, or a replica that confirms another server's commits. The two are told
-//! apart by the leader of the term: either the one that was recorded while the primary was reachable, or, if no promotion
-//! was ever ordered in the group, the one listed in the directory. Only a promotion makes a server's own statement
-//! of its role outdated.
+//! apart by the leader of the term: either the one that was recorded while the primary was reachable, or, if no
+//! promotion was ever ordered in the group, the one listed in the directory. Only a promotion makes a server's own
+//! statement of its role outdated.
 
 use {
     pondtrack_proto::{Name, Term},
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,15 +1,16 @@
 //! The failover lease: at most one instance at a time may order fences and promotions.
 //!
-//! The lease is a record in the store that is only changed by conditional writes. The holder may act for [`LEASE_DURATION`],
-//! counted from the time at which it sent its last successful renewal. Another instance takes over once it has seen the
-//! record unchanged for [`TAKEOVER_DELAY`] on its own clock, so clocks are never compared between instances. A holder that was
-//! paused finds its lease expired.
+//! The lease is a record in the store that is only changed by conditional writes. The holder may act for
+//! [`LEASE_DURATION`], counted from the time at which it sent its last successful renewal. Another instance takes over
+//! once it has seen the record unchanged for [`TAKEOVER_DELAY`] on its own clock, so clocks are never compared between
+//! instances. A holder that was paused finds its lease expired.
 //!
 //! The store may be restored from an older copy, which starts a new era: records revert, the lease's among them, and
-//! revisions are assigned a second time. Each record therefore carries the era in which it was written, and a record of an
-//! earlier era has no holder. Such a record may be taken over once the new era has been known for [`TAKEOVER_DELAY`], as
-//! a holder that is unaware of the new era may act for [`LEASE_DURATION`]. The earlier holder itself only waits until its own orders
-//! have ended. Fencing tokens carry the era in their upper half, so no token is issued twice, whatever the copy contains.
+//! revisions are assigned a second time. Each record therefore carries the era in which it was written, and a record of
+//! an earlier era has no holder. Such a record may be taken over once the new era has been known for
+//! [`TAKEOVER_DELAY`], as a holder that is unaware of the new era may act for [`LEASE_DURATION`]. The earlier holder
+//! itself only waits until its own orders have ended. Fencing tokens carry the era in their upper half, so no token is
+//! issued twice, whatever the copy contains.
 
 use {
     crate::Time,
@@ -17,11 +18,11 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Time for which the holder may act after sending a renewal, in microseconds. It is short, so that a holder that is
-/// partitioned from the store is replaced within seconds; a slow store answers within 400 ms.
+/// Time for which the holder may act after sending a renewal, in microseconds. The time is short, so that a
+/// holder that is partitioned from the store is replaced within seconds; a slow store answers within 400 ms.
 pub const LEASE_DURATION: Time = 1_500_000;
-/// Time for which a record must remain unchanged before another instance takes it over, in microseconds. It covers [`LEASE_DURATION`],
-/// the time for which an order may be in flight (500 ms), and a margin for clock drift.
+/// Time for which a record must remain unchanged before another instance takes it over, in microseconds. It covers
+/// [`LEASE_DURATION`], the time for which an order may be in flight (500 ms), and a margin for clock drift.
 pub const TAKEOVER_DELAY: Time = 2_400_000;
 /// Time after its start for which a process that finds its own name in the record waits, in microseconds, because an
 /// order of the previous process may still be in flight. The holder of an earlier era waits as long for its own orders.
@@ -40,11 +41,11 @@
     pub token: u64,
     /// A random number per write, by which a write is recognised after its answer was lost.
     pub nonce: u64,
-    /// True if every holder so far recorded a group's leader before ordering the first promotion in the group. Versions
-    /// that don't know the field drop it.
+    /// True if every holder so far recorded a group's leader before ordering the first promotion in the group.
+    /// Software versions without this field drop it.
     #[serde(default)]
     pub complete: bool,
-    /// The era of the store in which the record was written. Versions that don't know the field drop it.
+    /// The era of the store in which the record was written. Software versions without this field drop it.
     #[serde(default)]
     pub era: u64,
 }
@@ -93,8 +94,8 @@
     Found(Observed),
 }
 
-/// State machine that acquires and renews the lease for one instance. Times are microseconds of the instance's monotonic
-/// clock.
+/// State machine that acquires and renews the lease for one instance. Times are microseconds of the instance's
+/// monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     name: Name,
@@ -137,7 +138,7 @@
         self.held
     }
 
-    /// Records the store's era as given by one of its answers. Returns true if the era is later than the one known before.
+    /// Records the store's era from one of its responses. Returns true if the era is later than the one known before.
     pub fn observe_era(&mut self, era: u64, now: Time) -> bool {
         let Some((known, _)) = self.era else {
             self.intact |= era == 0;
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,9 +1,9 @@
 //! Gossip membership with SWIM: probes, suspicion and incarnations.
 //!
 //! In each interval an instance probes one other instance, regardless of the fleet's size. After a missed probe, other
-//! members probe the target, preferably from other availability zones. If these probes fail too, the member is suspected,
-//! and may refute the suspicion with a higher incarnation before it is considered dead. Updates are piggybacked on
-//! the probes. The platform's list is only used to find members that aren't known yet.
+//! members probe the target, preferably from other availability zones. If these probes fail too, the member is
+//! suspected, and may refute the suspicion with a higher incarnation before it is considered dead. Updates are
+//! piggybacked on the probes. The platform's list is only used to find members that aren't known yet.
 
 use {
     crate::{
@@ -295,9 +295,9 @@
     }
 
     /// Handles a datagram.
-    pub fn receive(&mut self, now: Time, gram: Datagram) -> Output {
+    pub fn receive(&mut self, now: Time, datagram: Datagram) -> Output {
         let mut out = Output::default();
-        let Datagram { from, facts, news, body } = gram;
+        let Datagram { from, facts, news, body } = datagram;
         if from.name == self.local.name {
             return out;
         }
@@ -353,8 +353,8 @@
         out
     }
 
-    /// Discards open probes and restarts suspicion periods after a pause of this instance, because evidence from before the pause
-    /// says nothing about other members.
+    /// Discards open probes and restarts suspicion periods after a pause of this instance, because evidence from before
+    /// the pause says nothing about other members.
     fn reset_timers(&mut self, now: Time) {
         self.probes.clear();
         self.relayed.clear();
@@ -507,7 +507,8 @@
         let old = &self.list[at];
         let newer = (view.incarnation, view.state) > (old.incarnation, old.state);
         if !newer {
-            // A suspected or dead member that still sends its old state is notified by `take_updates` and can refute it.
+            // A suspected or dead member that still sends its old state is notified by `take_updates` and can refute
+            // it.
             return;
         }
         let event = match view.state {
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -1,7 +1,7 @@
 //! Plans: an operator's intent as a list of steps.
 //!
-//! A plan lists its effects and the versions of the configuration that it was made from, and its confirmation is conditional
-//! on these versions. Steps are idempotent, so any instance can continue a plan.
+//! A plan lists its effects and the versions of the configuration that it was made from, and its confirmation is
+//! conditional on these versions. Steps are idempotent, so any instance can continue a plan.
 
 use {
     crate::state_chart::StateChart,
@@ -244,8 +244,8 @@
     Ok((vec![Step::Write { spec }], effects, basis))
 }
 
-/// Rejects every change of a group's servers: a majority of the new servers might have no server in common with a majority
-/// of the old ones.
+/// Rejects every change of a group's servers: a majority of the new servers might have no server in common with a
+/// majority of the old ones.
 fn check_change(old: &GroupSpec, new: &GroupSpec) -> Result<(), PlanError> {
     let removed = old.servers.iter().filter(|s| new.server(&s.name).is_none()).count();
     let added = new.servers.iter().filter(|s| old.server(&s.name).is_none()).count();
--- a/crates/core/src/primary_claim.rs
+++ b/crates/core/src/primary_claim.rs
@@ -1,8 +1,8 @@
 //! Detection of a primary that has lost its log.
 //!
-//! Entries of a term come from the term's primary alone. When a primary is queried, its log is therefore at least as long
-//! as what any replica had received of the term before the query. A primary with a shorter log has lost it: reads from it
-//! would return nothing, and replicas whose longer logs came from its earlier run would appear to hold its
+//! Entries of a term come from the term's primary alone. When a primary is queried, its log is therefore at least as
+//! long as what any replica had received of the term before the query. A primary with a shorter log has lost it: reads
+//! from it would return nothing, and replicas whose longer logs came from its earlier run would appear to hold its
 //! commits.
 
 use {crate::Time, pondtrack_proto::Lsn};
@@ -12,7 +12,8 @@
 pub enum ClaimStatus {
     /// Nothing contradicts the claim.
     Valid,
-    /// A replica has received more than the claimant reported in an earlier response: the claimant must be queried again.
+    /// A replica has received more than the claimant reported in an earlier response: the claimant must be queried
+    /// again.
     Unverified,
     /// The claimant's log was shorter than what a replica had received before the claimant was queried.
     LogLost,
@@ -29,13 +30,14 @@
     replicated: Option<(Time, Lsn)>,
     /// True if the claimant has reported at least as much as a replica had received.
     proven: bool,
-    /// True if the claimant has lost its log. This is permanent, because its new entries reuse the positions of the lost
-    /// ones.
+    /// True if the claimant has lost its log. This is permanent, because its new entries reuse the positions of the
+    /// lost ones.
     lost: bool,
 }
 
 impl PrimaryClaim {
-    /// Records that a server that reports itself as primary was at position `at` in the response to a query sent at `asked`.
+    /// Records that a server that reports itself as primary was at position `at` in the response to a query sent at
+    /// `asked`.
     pub fn observe_primary(&mut self, server: usize, at: Lsn, asked: Time) {
         if self.claimant != Some(server) {
             *self = PrimaryClaim {
--- a/crates/core/src/promotion.rs
+++ b/crates/core/src/promotion.rs
@@ -100,10 +100,10 @@
 impl Promotion {
     /// Starts an attempt in a granted term; returns the orders to fence the servers.
     ///
-    /// The promotion waits for `preferred` to be fenced, until [`Promotion::skip_preferred`] is called, and selects that
-    /// server if no other log is higher. Servers in `avoided`, such as drained ones, are only selected if their log is
-    /// higher than all others. `skipped` isn't fenced: a primary that its replicas can't reach would win with entries that
-    /// no other server has, and still be unreachable.
+    /// The promotion waits for `preferred` to be fenced, until [`Promotion::skip_preferred`] is called, and selects
+    /// that server if no other log is higher. Servers in `avoided`, such as drained ones, are only selected if their
+    /// log is higher than all others. `skipped` isn't fenced: a primary that its replicas can't reach would win with
+    /// entries that no other server has, and still be unreachable.
     pub fn start(
         servers: usize,
         quorum: usize,
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -1,8 +1,8 @@
 //! Quorum eligibility of a server that restarted under its id with an empty log.
 //!
 //! Two guarantees depend on state that such a server has lost: commits that were acknowledged because the server had
-//! received them, and the order to stop receiving, on which a failover relies. Therefore its confirmations don't
-//! count in a term that may have been about to end when it restarted. In addition, entries acknowledged on its confirmation
+//! received them, and the order to stop receiving, on which a failover relies. Therefore its confirmations don't count
+//! in a term that may have been about to end when it restarted. In addition, entries acknowledged on its confirmation
 //! may be held by the primary alone until a replica has received everything that the primary held after the restart.
 //!
 //! Restarts are reported by the directory, or detected by a log that is shorter than before. Restarts with and without
@@ -77,10 +77,11 @@
 
     /// Returns true if the server's confirmations count toward the quorum in `term`.
     ///
-    /// They count in terms that began after the server was first reached, because ending such a term requires stopping the
-    /// server in its current run. In the term known at that time, or an earlier one, they count only once no failover that
-    /// had stopped the server before the restart can be in progress, and every other replica has reported since then that
-    /// none has succeeded. `others` are the reports of the other replicas; none for a replica that wasn't reached.
+    /// They count in terms that began after the server was first reached, because ending such a term requires stopping
+    /// the server in its current run. In the term known at that time, or an earlier one, they count only once no
+    /// failover that had stopped the server before the restart can be in progress, and every other replica has reported
+    /// since then that none has succeeded. `others` are the reports of the other replicas; none for a replica that
+    /// wasn't reached.
     pub fn counts_for_quorum(
         &self,
         term: Term,
--- a/crates/core/src/state_chart.rs
+++ b/crates/core/src/state_chart.rs
@@ -1,7 +1,7 @@
 //! State charts: transition tables that are read from files and interpreted.
 //!
-//! A chart lists every pair of state and event, either as a transition or as deliberately ignored. Any other pair is an error at
-//! run time and fails the test that checks the charts.
+//! A chart lists every pair of state and event, either as a transition or as deliberately ignored. Any other pair is an
+//! error at run time and fails the test that checks the charts.
 
 use {
     serde::Deserialize,
--- a/crates/core/src/term_pool.rs
+++ b/crates/core/src/term_pool.rs
@@ -1,24 +1,25 @@
 //! Pre-allocated terms.
 //!
 //! The group's record on the platform allocates terms in blocks, and each term only once. A home keeps a block, so that
-//! a failover needs no platform call, and several failovers are possible while the platform is unavailable. No two holders
-//! have the same term; if two race, the servers refuse the lower term.
+//! a failover needs no platform call, and several failovers are possible while the platform is unavailable. No two
+//! holders have the same term; if two race, the servers refuse the lower term.
 //!
-//! Blocks are allocated in increasing order, so a failover with a term of one block makes all lower blocks useless. Homes that
-//! lost their terms in this way get a part of the block in use from its holder, without the platform.
+//! Blocks are allocated in increasing order, so a failover with a term of one block makes all lower blocks useless.
+//! Homes that lost their terms in this way get a part of the block in use from its holder, without the platform.
 
 use pondtrack_proto::{Term, TermRecord};
 
 /// Number of terms in one block. Large blocks are affordable: at a thousand blocks a second, 64-bit terms last for
-/// 500,000 years. A home splits off half of its terms at a time and each failover uses one, so with 16 terms there would be
-/// none to split off after two failovers by different homes.
+/// 500,000 years. A home splits off half of its terms at a time and each failover uses one, so with 16 terms there
+/// would be none to split off after two failovers by different homes.
 pub const BLOCK_SIZE: u64 = 1_024;
-/// Number of usable terms below which the holder requests another block; it is reached after two splits.
+/// Number of usable terms below which the holder requests another block; two splits of a block reach that number.
 const LOW_WATERMARK: u64 = 256;
 
 /// The terms that one instance may use for promotions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TermPool {
+    /// Blocks as first term and exclusive end; sorted.
     blocks: Vec<(Term, Term)>,
 }
 
@@ -47,7 +48,8 @@
         self.blocks.retain(|block| block.0 < block.1);
     }
 
-    /// Splits off the upper half of the largest block, for another home; returns none if no block has two terms or more.
+    /// Splits off the upper half of the largest block, for another home; returns none if no block has two terms or
+    /// more.
     ///
     /// The lower half is kept: the home that ran the last failover is the most likely to run the next one, and using
     /// a lower term then leaves the other homes' terms usable.
@@ -60,8 +62,8 @@
         (half > 0).then_some(upper)
     }
 
-    /// Returns the number of remaining terms. Some may be unusable unless [`TermPool::discard_through`] was called with the
-    /// newest term.
+    /// Returns the number of remaining terms. Some may be unusable unless [`TermPool::discard_through`] was called with
+    /// the newest term.
     pub fn remaining(&self) -> u64 {
         self.blocks.iter().map(|block| block.1.0 - block.0.0).sum()
     }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,7 +1,8 @@
 //! Membership and the gossip of facts under seeded schedules with a virtual clock.
 //!
-//! Guards against live members that are considered dead, members or facts that don't reach every instance, and message costs
-//! that grow with the fleet; the schedules lose datagrams, partition the network, and pause, stop and restart instances.
+//! Guards against live members that are considered dead, members or facts that don't reach every instance, and message
+//! costs that grow with the fleet; the schedules lose datagrams, partition the network, and pause, stop and restart
+//! instances.
 
 use {
     pondtrack_core::{
--- a/crates/core/tests/safety.rs
+++ b/crates/core/tests/safety.rs
@@ -1,7 +1,7 @@
 //! Commit gate, promotion, term pool, freshness, request keys and session tokens.
 //!
-//! Guards against commits that are acknowledged but lost by a failover, terms issued twice, replica reads that are staler
-//! than stated, and keys or tokens that are misread.
+//! Guards against commits that are acknowledged but lost by a failover, terms issued twice, replica reads that are
+//! staler than stated, and keys or tokens that are misread.
 
 use {
     pondtrack_core::{
@@ -68,7 +68,8 @@
     assert_eq!(first.len(), 3);
     let last = Mark::new(4, 9);
     assert!(fence(&mut promotion, 0, last).is_empty());
-    // Without the wait, the preferred server lost in one of 14 planned failovers, as the other two of three answered first.
+    // Without the wait, the preferred server lost in one of 14 planned failovers, as the other two of three answered
+    // first.
     assert!(fence(&mut promotion, 2, last).is_empty());
     assert_eq!(fence(&mut promotion, 1, last), [Action::Promote { server: 1, term: Term(5) }]);
 }
