--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -164,11 +164,8 @@
     ) -> Execution<'a> {
         let arrived_at = inst.now();
         let deadline = arrived + route.timeout;
-        let allowance = TimeLimits {
-            arrived_at,
-            objective: micros(route.objective),
-            timeout: micros(route.timeout),
-        };
+        let allowance =
+            TimeLimits { arrived_at, objective: micros(route.objective), timeout: micros(route.timeout) };
         let limited = inst.config().is_some_and(|config| config.is_limited());
         let rule = if limited { Mode::Objective } else { Mode::PerWait };
         let budget = Cell::new(Budget::new(allowance, rule));
