--- a/crates/core/benches/ratios.rs
+++ b/crates/core/benches/ratios.rs
@@ -1,4 +1,4 @@
-//! Times of decisions as ratios within one run, each with its bound: `cargo bench -p pondtrack-core`.
+//! Durations of decisions as ratios within one run, each with an upper bound: `cargo bench -p pondtrack-core`.
 
 use {
     pondtrack_core::{
@@ -12,24 +12,28 @@
     std::{hint::black_box, process::ExitCode, time::Instant},
 };
 
-/// Rounds of each measurement; the quickest counts.
+/// Number of rounds of each measurement. The fastest one counts.
 const ROUNDS: usize = 7;
 
 fn main() -> ExitCode {
     let text = "SELECT qty FROM stock WHERE part = $1 AND depot = $2 ORDER BY part LIMIT 10";
-    let mut known = Classifier::default();
-    known.classify(text);
+    let mut classifier = Classifier::default();
+    classifier.classify(text);
     let (small, large) = (members(76), members(760));
     let (few, many) = (fleet(76), fleet(760));
     let bounds = [
-        ("a known text against a new one", time(|| known.classify(text)) / time(|| classify(text)), 0.2),
+        (
+            "classifying a cached text against a new one",
+            time(|| classifier.classify(text)) / time(|| classify(text)),
+            0.2,
+        ),
         (
             "placing a group among 760 instances against 76",
             time(|| placement::homes(&spec(), &large)) / time(|| placement::homes(&spec(), &small)),
             16.0,
         ),
-        ("a tick of membership among 760 against 76", ticks(many) / ticks(few), 20.0),
-        ("opening the gate for 1000 commits against 100", held(1_000) / held(100), 40.0),
+        ("a membership tick among 760 instances against 76", ticks(many) / ticks(few), 20.0),
+        ("releasing 1000 gated commits against 100", gated(1_000) / gated(100), 40.0),
         (
             "granting an operation among 5,000 organisations and 760 instances against 8 and 9",
             granted(760, 5_000) / granted(9, 8),
@@ -37,24 +41,24 @@
         ),
     ];
     println!("an operation among 5,000 organisations and 760 instances: {:.0} ns", granted(760, 5_000) * 1e9);
-    let mut good = true;
+    let mut all_ok = true;
     for (name, ratio, bound) in bounds {
         let ok = ratio <= bound;
-        good &= ok;
+        all_ok &= ok;
         println!("{} {name}: {ratio:.2}, at most {bound}", if ok { "ok  " } else { "FAIL" });
     }
-    if good { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if all_ok { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Seconds of the quickest of some rounds of a piece of work.
+/// Duration of the fastest round of 200 calls, in seconds.
 fn time<T>(mut work: impl FnMut() -> T) -> f64 {
     let mut best = f64::MAX;
     for _ in 0..ROUNDS {
-        let from = Instant::now();
+        let start = Instant::now();
         for _ in 0..200 {
             black_box(work());
         }
-        best = best.min(from.elapsed().as_secs_f64());
+        best = best.min(start.elapsed().as_secs_f64());
     }
     best
 }
@@ -85,60 +89,61 @@
     }
 }
 
-/// A member that knows a whole fleet.
+/// Membership state that contains a whole fleet.
 fn fleet(n: usize) -> Members {
     let mut all = members(n);
     let me = all.remove(0);
-    let mut it = Members::new(me, Vec::new(), MemberConfig::default(), 1);
+    let mut state = Members::new(me, Vec::new(), MemberConfig::default(), 1);
     for from in all {
         let body = pondtrack_proto::Payload::Members;
-        it.receive(0, pondtrack_proto::Datagram { from, facts: 0, news: Vec::new(), body });
+        state.receive(0, pondtrack_proto::Datagram { from, facts: 0, news: Vec::new(), body });
     }
-    it
+    state
 }
 
-/// Seconds of the ticks of a minute.
-fn ticks(mut it: Members) -> f64 {
-    let from = Instant::now();
+/// Duration of the ticks of a minute, in seconds.
+fn ticks(mut members: Members) -> f64 {
+    let start = Instant::now();
     for n in 0..600 {
-        black_box(it.tick(n * 100));
+        black_box(members.tick(n * 100));
     }
-    from.elapsed().as_secs_f64()
+    start.elapsed().as_secs_f64()
 }
 
-/// Seconds to hold so many commits and let them out.
-fn held(n: u64) -> f64 {
+/// Duration of holding and releasing `n` commits, in seconds.
+fn gated(n: u64) -> f64 {
     time(|| {
-        let mut it = Gate::new(3, 2);
-        it.begin(Term(1));
-        it.observe(0, Term(1), Mark::new(1, n));
+        let mut gate = Gate::new(3, 2);
+        gate.begin(Term(1));
+        gate.observe(0, Term(1), Mark::new(1, n));
         for lsn in 1..=n {
-            black_box(it.hold(Term(1), Lsn(lsn)));
+            black_box(gate.hold(Term(1), Lsn(lsn)));
         }
-        it.observe(1, Term(1), Mark::new(1, n)).len()
+        gate.observe(1, Term(1), Mark::new(1, n)).len()
     })
 }
 
-/// Seconds to grant an operation of one of many organisations, to which so many instances have lent their shares.
+/// Duration of granting an operation of one of many organisations, in seconds, at a limiter to which all instances have
+/// lent their shares.
 fn granted(instances: usize, organisations: usize) -> f64 {
-    const ASKED: usize = 2_000;
+    const CLAIMS: usize = 2_000;
     let now = 1_000_000;
-    let mut it = Limiter::new(1);
-    let since = Some(it.stamp(now));
+    let mut limiter = Limiter::new(1);
+    let since = Some(limiter.stamp(now));
     let mut slots = Slots::default();
     (0..SLOTS).for_each(|slot| slots.insert(slot));
     for n in 0..instances {
-        it.lent(&Name::from(format!("n{n}")), 1, slots, 1.0 / instances as f64, since, now);
+        limiter.lent(&Name::from(format!("n{n}")), 1, slots, 1.0 / instances as f64, since, now);
     }
     let names: Vec<Name> = (0..organisations).map(|n| Name::from(format!("organisation{n}"))).collect();
     let limits = Limits { rate: 1e9, burst: 1e9, margin: 0.0 };
     let mut best = f64::MAX;
     for _ in 0..ROUNDS {
-        let from = Instant::now();
-        for n in 0..ASKED {
-            black_box(it.claim(&names[n * 7 % organisations], limits, Demand::plain(1), now + n as u64));
+        let start = Instant::now();
+        for n in 0..CLAIMS {
+            black_box(limiter.claim(&names[n * 7 % organisations], limits, Demand::plain(1), now + n as u64));
         }
-        best = best.min(from.elapsed().as_secs_f64() / ASKED as f64);
+        best = best.min(start.elapsed().as_secs_f64() / CLAIMS as f64);
     }
     best
 }
--- a/crates/core/src/balance.rs
+++ b/crates/core/src/balance.rs
@@ -1,177 +1,179 @@
-//! What it costs to send a statement to a server at present.
+//! Load balancing: the cost of sending a statement to a server at present.
 //!
-//! Times are microseconds. The figures are weights: only the order that they give matters.
+//! Times are in microseconds. Costs are only compared with each other; their absolute values have no meaning.
 
 use {crate::Time, std::borrow::Borrow};
 
-/// The part of a new observation in the average.
-const WEIGHT: f64 = 0.2;
-/// Time after which an estimate without news counts half, so that a server that was slow or behind is tried
-/// again.
+/// Weight of a new observation in the latency estimate.
+const LATENCY_WEIGHT: f64 = 0.2;
+/// Half-life of an estimate without new observations, so that a server that was slow or behind is tried again.
 const HALF_LIFE: f64 = 1_000_000.0;
-/// The most that a replica is taken to be behind, in microseconds: above the ages that routes
-/// allow, and little enough to be tried again soon.
-const LAG_MOST: Time = 4_000_000;
-/// What another availability zone costs: the crossing both ways, and the price of the bytes. The near server is
-/// passed over once two more statements of this instance are there than at the other; a third of the bytes between
-/// zones is saved against a cost below that of one statement.
-const FAR: u64 = 20_000;
-/// What each statement of this instance costs that runs or waits at the server.
-const QUEUED: u64 = 8_000;
-/// What the primary costs on top, as it alone takes writes: less than one statement more, and less than another
+/// Maximum estimate of a replica's lag: above the ages that routes allow, and low enough for the replica to be tried again
+/// soon.
+const MAX_LAG: Time = 4_000_000;
+/// Cost of a server in another availability zone: the round trip between zones and the price of the traffic. The server
+/// of the own zone is passed over once it has two more statements of this instance than the remote one. Compared to a cost
+/// below that of one statement, this saves a third of the traffic between zones.
+const CROSS_ZONE_COST: u64 = 20_000;
+/// Cost of each statement of this instance that runs or is queued at the server.
+const IN_FLIGHT_COST: u64 = 8_000;
+/// Additional cost of the primary, as only the primary can take writes: below the cost of one statement and of another
 /// zone, so that the primary takes the reads of its own zone while it has no queue.
-const PRIMARY: u64 = 5_000;
+const PRIMARY_COST: u64 = 5_000;
 
-/// The part of a new observation in a long average.
-const LONG_WEIGHT: f64 = 0.02;
+/// Weight of a new observation in an [`Average`].
+const AVERAGE_WEIGHT: f64 = 0.02;
 
-/// A moving average over about fifty observations: work that differs by a third is told apart, although single
-/// statements differ by more.
+/// Moving average over about fifty observations. That many are needed to distinguish kinds of work whose costs differ by a
+/// third, as single statements of one kind differ by more.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Average {
     value: f64,
-    seen: f64,
+    count: f64,
 }
 
 impl Average {
-    /// One more observation, in microseconds.
-    pub fn observe(&mut self, took: Time) {
-        self.seen += 1.0;
-        // The first ones count alike.
-        let weight = LONG_WEIGHT.max(1.0 / self.seen);
-        self.value += weight * (took as f64 - self.value);
+    /// Adds an observation, in microseconds.
+    pub fn observe(&mut self, duration: Time) {
+        self.count += 1.0;
+        // The first observations have equal weights.
+        let weight = AVERAGE_WEIGHT.max(1.0 / self.count);
+        self.value += weight * (duration as f64 - self.value);
     }
 
-    /// Whether it rests on as many observations as it averages over.
+    /// Returns true if there were as many observations as the average covers.
     pub fn is_settled(self) -> bool {
-        self.seen * LONG_WEIGHT >= 1.0
+        self.count * AVERAGE_WEIGHT >= 1.0
     }
 
-    /// The average, in microseconds; 0 before the first observation.
+    /// Returns the average in microseconds; 0 before the first observation.
     pub fn get(self) -> Time {
         self.value as Time
     }
 }
 
-/// An average for each kind of work, sorted by kind.
+/// Averages by kind of work.
 #[derive(Clone, Debug)]
 pub struct Averages<K> {
-    list: Vec<(K, Average)>,
+    /// Sorted by kind.
+    entries: Vec<(K, Average)>,
 }
 
 impl<K> Default for Averages<K> {
     fn default() -> Averages<K> {
-        Averages { list: Vec::new() }
+        Averages { entries: Vec::new() }
     }
 }
 
 impl<K: Ord> Averages<K> {
-    /// The average of a kind that was observed.
+    /// Returns the average of a kind, if the kind was observed.
     pub fn get<Q: Ord + ?Sized>(&self, kind: &Q) -> Option<Average>
     where
         K: Borrow<Q>,
     {
-        let at = self.list.binary_search_by(|it| it.0.borrow().cmp(kind)).ok()?;
-        Some(self.list[at].1)
+        let at = self.entries.binary_search_by(|entry| entry.0.borrow().cmp(kind)).ok()?;
+        Some(self.entries[at].1)
     }
 
-    /// One more observation of a kind, in microseconds.
-    pub fn observe(&mut self, kind: K, took: Time) {
-        let at = self.list.binary_search_by(|it| it.0.cmp(&kind)).unwrap_or_else(|at| {
-            self.list.insert(at, (kind, Average::default()));
+    /// Adds an observation of a kind, in microseconds.
+    pub fn observe(&mut self, kind: K, duration: Time) {
+        let at = self.entries.binary_search_by(|entry| entry.0.cmp(&kind)).unwrap_or_else(|at| {
+            self.entries.insert(at, (kind, Average::default()));
             at
         });
-        self.list[at].1.observe(took);
+        self.entries[at].1.observe(duration);
     }
 
-    /// How many kinds were observed.
+    /// Number of observed kinds.
     pub fn len(&self) -> usize {
-        self.list.len()
+        self.entries.len()
     }
 
-    /// Whether none was.
+    /// Returns true if no kind was observed.
     pub fn is_empty(&self) -> bool {
-        self.list.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Forgets them all.
+    /// Removes all averages.
     pub fn clear(&mut self) {
-        self.list.clear();
+        self.entries.clear();
     }
 }
 
-/// How long a server takes for a statement.
+/// Estimate of the latency of a server: a moving average that decays without observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LatencyEstimate {
     average: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl LatencyEstimate {
-    /// A statement took this long.
-    pub fn observe(&mut self, took: Time, now: Time) {
+    /// Adds the latency of a statement.
+    pub fn observe(&mut self, latency: Time, now: Time) {
         let old = self.get(now);
-        self.average = if old == 0.0 { took as f64 } else { old + WEIGHT * (took as f64 - old) };
-        self.at = now;
+        self.average =
+            if old == 0.0 { latency as f64 } else { old + LATENCY_WEIGHT * (latency as f64 - old) };
+        self.updated_at = now;
     }
 
-    /// How long the next is expected to take.
+    /// Returns the expected latency of the next statement.
     pub fn get(&self, now: Time) -> f64 {
-        let idle = now.saturating_sub(self.at) as f64;
+        let idle = now.saturating_sub(self.updated_at) as f64;
         self.average * (-idle / HALF_LIFE * std::f64::consts::LN_2).exp()
     }
 }
 
-/// What is known of a server when a statement is sent.
+/// Load of a server as seen by this instance, from which the cost of a statement is computed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerLoad {
-    /// How long statements take there.
+    /// Expected latency of a statement.
     pub expected_latency: f64,
-    /// This instance's statements that run or wait there.
+    /// Number of this instance's statements that run or are queued at the server.
     pub in_flight: usize,
-    /// Whether it is in another availability zone.
+    /// True if the server is in another availability zone.
     pub is_remote: bool,
-    /// Whether it is the primary.
+    /// True if the server is the primary.
     pub is_primary: bool,
 }
 
 impl ServerLoad {
-    /// The cost; the lowest is chosen.
+    /// Returns the cost of a statement; the server with the lowest cost is chosen.
     pub fn cost(&self) -> u64 {
-        let far = if self.is_remote { FAR } else { 0 };
-        let primary = if self.is_primary { PRIMARY } else { 0 };
-        self.expected_latency as u64 + QUEUED * self.in_flight as u64 + far + primary
+        let remote = if self.is_remote { CROSS_ZONE_COST } else { 0 };
+        let primary = if self.is_primary { PRIMARY_COST } else { 0 };
+        self.expected_latency as u64 + IN_FLIGHT_COST * self.in_flight as u64 + remote + primary
     }
 }
 
-/// How far a replica is behind, learned from reads that it could and could not answer.
+/// Estimate of a replica's lag, from its reports and from the reads that it could and could not answer.
 ///
-/// Without news the estimate shrinks, so that a replica that was passed over is tried again: nothing else
-/// would show that it has caught up.
+/// Without observations the estimate decays, so that a replica that was passed over is tried again: nothing else would
+/// show that it has caught up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LagEstimate {
     value: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl LagEstimate {
-    /// The estimate at a time, in microseconds.
+    /// Returns the estimate in microseconds.
     pub fn get(self, now: Time) -> Time {
-        let quiet = now.saturating_sub(self.at) as f64;
-        (self.value * (-quiet / HALF_LIFE * std::f64::consts::LN_2).exp()) as Time
+        let idle = now.saturating_sub(self.updated_at) as f64;
+        (self.value * (-idle / HALF_LIFE * std::f64::consts::LN_2).exp()) as Time
     }
 
     fn set(&mut self, lag: Time, now: Time) {
-        *self = LagEstimate { value: lag.min(LAG_MOST) as f64, at: now };
+        *self = LagEstimate { value: lag.min(MAX_LAG) as f64, updated_at: now };
     }
 
-    /// The server states its lag.
+    /// Updates the estimate with a lag that the server reported.
     pub fn observe_reported(&mut self, lag: Time, now: Time) {
         let old = self.get(now);
         self.set(if lag > old { lag } else { (old * 3 + lag) / 4 }, now);
     }
 
-    /// The server had a position of this age; an older one than the estimate says nothing.
+    /// Updates the estimate after the server had reached a position of this age. An age above the estimate is no evidence
+    /// and is ignored.
     pub fn observe_reached(&mut self, age: Time, now: Time) {
         let old = self.get(now);
         if age < old {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// The server lacked a position of this age.
+    /// Updates the estimate after the server had not reached a position of this age.
     pub fn observe_missing(&mut self, age: Time, now: Time) {
         self.set(self.get(now).max(age + age / 5), now);
     }
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,118 +1,120 @@
-//! How long a statement may wait before a server has it.
+//! Time budget of a statement for its waits before it is sent to a server.
 //!
-//! All of its waits draw on one budget, which comes from what its caller hopes for and not from the longest time that its
-//! route allows: a caller that is refused while there is time can still try elsewhere. Where callers don't compete for
-//! quotas, each wait has a limit of its own, which comes from the route's.
+//! All waits of a statement draw on one budget. It is derived from the caller's response time objective and not from the
+//! route's timeout: a caller that is rejected early can still retry elsewhere in time. Where callers don't compete for
+//! quotas, each wait has a limit of its own, derived from the route's timeout.
 //!
-//! Times are microseconds.
+//! Times are in microseconds.
 
 use {
     crate::Time,
     strum::{Display, EnumIter, IntoStaticStr},
 };
 
-/// Until when a statement waits for its quota, in percent of the objective: all else comes after it.
-const QUOTA: Time = 50;
-/// The same for evidence: a group's state takes a few milliseconds to learn, or this instance can't learn it. What is left
-/// lets another instance answer in time.
-const EVIDENCE: Time = 75;
-/// The same for a turn or a connection. What waits past the objective can only be late, at whichever instance: it is served
-/// sooner by a short further wait than by a pause and a place at the end of the next queue.
-const TURN: Time = 150;
-/// The same for a primary, and then for a turn and a connection at it: a change of primary is over soon, and no other instance
-/// has a primary meanwhile. Callers give up after some objectives, and three tries of this length cover these.
-const PRIMARY: Time = 200;
-/// Until when a statement waits for a turn or a connection, in percent of the route's limit, where waits have limits of their
-/// own: callers try three times and give up after about three such limits.
-const HOLD: Time = 40;
-/// Until when it waits there for anything else.
-const WHOLE: Time = 100;
+/// Deadline of the wait for a quota, in percent of the objective. All other waits come after this one.
+const QUOTA_PERCENT: Time = 50;
+/// Deadline of the wait for evidence, in percent of the objective. The state of a group is known within a few milliseconds,
+/// or this instance can't learn it; the remaining time lets another instance answer.
+const EVIDENCE_PERCENT: Time = 75;
+/// Deadline of the wait for a permit or a connection, in percent of the objective. A statement that has waited past the
+/// objective is late at any instance: a short further wait serves it sooner than a backoff and a place at the end of
+/// another queue.
+const PERMIT_PERCENT: Time = 150;
+/// Deadline of the wait for a primary, and for a permit and a connection at the primary found after that, in percent of the
+/// objective. A failover is short, and no other instance has a primary meanwhile. Callers give up after a few objectives,
+/// and three attempts of this length cover these.
+const PRIMARY_PERCENT: Time = 200;
+/// Deadline of the wait for a permit or a connection, in percent of the route's timeout, in [`Mode::PerWait`]. Callers make
+/// three attempts and give up after about three such limits.
+const PER_WAIT_PERMIT_PERCENT: Time = 40;
+/// Deadline of any other wait, in percent of the route's timeout, in [`Mode::PerWait`].
+const PER_WAIT_PERCENT: Time = 100;
 
-/// What a statement waits for before a server has it.
+/// Reason for which a statement waits before it is sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Wait {
-    /// A token of its organisation's quota.
+    /// A token of the organisation's quota.
     Quota,
-    /// What the log of a server has to hold.
+    /// The log position that a server must have reached.
     Evidence,
-    /// A primary that answers.
+    /// A primary that responds.
     Primary,
-    /// A turn at a server.
+    /// A permit to run at a server.
     #[strum(serialize = "turn")]
     Permit,
     /// A connection to a server.
     Connection,
 }
 
-/// The limits from which a budget is made.
+/// Times of a request from which a [`Budget`] is derived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
-    /// When the statement arrived.
+    /// Arrival time of the statement.
     pub arrived_at: Time,
-    /// The response time that its caller hopes for.
+    /// Response time objective of the caller.
     pub objective: Time,
-    /// The longest time that its route allows.
+    /// Timeout of the route.
     pub timeout: Time,
 }
 
-/// What waits are measured by.
+/// Rule by which the deadlines of waits are derived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Each wait by itself, by the route's limit.
+    /// Each wait has a deadline of its own, derived from the route's timeout.
     PerWait,
-    /// All together, by the objective.
+    /// All waits share one budget, derived from the objective.
     Objective,
-    /// The same after a change of primary that has used up the objective.
+    /// As [`Mode::Objective`], after a failover that has used up the time for a permit.
     Failover,
 }
 
-/// How long one statement may wait.
+/// Time budget of one statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    allowance: TimeLimits,
-    rule: Mode,
+    limits: TimeLimits,
+    mode: Mode,
 }
 
 impl Budget {
-    /// Of a statement that has just arrived.
-    pub fn new(allowance: TimeLimits, rule: Mode) -> Budget {
-        Budget { allowance, rule }
+    /// Creates the budget of a statement that has just arrived.
+    pub fn new(limits: TimeLimits, mode: Mode) -> Budget {
+        Budget { limits, mode }
     }
 
-    /// Until when it waits for something.
+    /// Returns the time at which a wait ends.
     pub fn deadline(&self, wait: Wait) -> Time {
-        let TimeLimits { arrived_at, objective, timeout } = self.allowance;
-        let (whole, percent) = match (self.rule, wait) {
-            (Mode::PerWait, Wait::Permit | Wait::Connection) => (timeout, HOLD),
-            (Mode::PerWait, Wait::Quota | Wait::Evidence | Wait::Primary) => (timeout, WHOLE),
-            (Mode::Objective, Wait::Quota) => (objective, QUOTA),
-            (Mode::Objective, Wait::Evidence) => (objective, EVIDENCE),
-            (Mode::Objective, Wait::Permit | Wait::Connection) => (objective, TURN),
-            (Mode::Objective, Wait::Primary) | (Mode::Failover, _) => (objective, PRIMARY),
+        let TimeLimits { arrived_at, objective, timeout } = self.limits;
+        let (total, percent) = match (self.mode, wait) {
+            (Mode::PerWait, Wait::Permit | Wait::Connection) => (timeout, PER_WAIT_PERMIT_PERCENT),
+            (Mode::PerWait, Wait::Quota | Wait::Evidence | Wait::Primary) => (timeout, PER_WAIT_PERCENT),
+            (Mode::Objective, Wait::Quota) => (objective, QUOTA_PERCENT),
+            (Mode::Objective, Wait::Evidence) => (objective, EVIDENCE_PERCENT),
+            (Mode::Objective, Wait::Permit | Wait::Connection) => (objective, PERMIT_PERCENT),
+            (Mode::Objective, Wait::Primary) | (Mode::Failover, _) => (objective, PRIMARY_PERCENT),
         };
-        arrived_at + (whole * percent / 100).min(timeout)
+        arrived_at + (total * percent / 100).min(timeout)
     }
 
-    /// Whether a wait that is expected to take so long from now fits.
+    /// Returns true if a wait of the expected duration, starting now, ends before its deadline.
     pub fn allows(&self, wait: Wait, expected: Time, now: Time) -> bool {
         now + expected <= self.deadline(wait)
     }
 
-    /// Whether a statement that no server has is not tried again.
+    /// Returns true if a statement that was not sent to a server must not be retried.
     pub fn is_exhausted(&self, now: Time) -> bool {
-        let last = match self.rule {
+        let last = match self.mode {
             Mode::PerWait => Wait::Primary,
             Mode::Objective | Mode::Failover => Wait::Permit,
         };
         now >= self.deadline(last)
     }
 
-    /// A primary was found. Where that took all the time for a turn, a refusal would come just as the statement could be
-    /// served, if late.
+    /// Returns the budget after a primary was found. If that took all the time for a permit, the deadline is extended: the
+    /// statement can be served now, if late, and a rejection would come at just that moment.
     pub fn after_primary_found(self, now: Time) -> Budget {
-        match self.rule {
-            Mode::Objective if now >= self.deadline(Wait::Permit) => Budget { rule: Mode::Failover, ..self },
+        match self.mode {
+            Mode::Objective if now >= self.deadline(Wait::Permit) => Budget { mode: Mode::Failover, ..self },
             Mode::Objective | Mode::Failover | Mode::PerWait => self,
         }
     }
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -1,26 +1,26 @@
-//! What an instance can carry, beside others.
+//! Capacity of an instance relative to others.
 
 use serde::{Deserialize, Serialize};
 
-/// An instance is chosen at most so many times as often as the smallest one: the loss of a strong one moves what it was
-/// chosen for to others all at once, and callers wait meanwhile.
+/// Maximum weight of an instance, relative to the smallest one. When a strong instance is lost, everything that was placed
+/// on it moves to others at once, and callers wait meanwhile.
 pub const MAX_WEIGHT: f64 = 8.0;
 
-/// The resources of an instance, as its settings state them; 0 is none that is stated. They rise in the order of the
-/// fields: the scarcest one beside what the work needs decides how much an instance takes on.
+/// Resources of an instance, as stated in its settings; 0 if not stated. Compared in the order of the fields. The resource
+/// that is the scarcest relative to the needs of the work limits how much an instance can take on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Capacity {
     /// Processor time, in thousandths of a core.
     pub processor: u32,
     /// Memory, in megabytes.
     pub memory: u32,
-    /// Descriptors.
+    /// Maximum number of file descriptors.
     pub descriptors: u32,
-    /// Its network link, in megabits a second.
+    /// Bandwidth of the network link, in megabits per second.
     pub link: u32,
 }
 
-/// The least that any instance states of what decides about placement; 0 where none states it.
+/// Minimum capacity that any instance states, for the resources that determine placement; 0 if no instance states it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MinCapacity {
     processor: u32,
@@ -28,19 +28,19 @@
 }
 
 impl MinCapacity {
-    /// The least of these.
+    /// Returns the minimum of the given capacities.
     pub fn of(all: impl Iterator<Item = Capacity> + Clone) -> MinCapacity {
-        let least = |of: fn(Capacity) -> u32| all.clone().map(of).filter(|it| *it > 0).min().unwrap_or(0);
-        MinCapacity { processor: least(|it| it.processor), link: least(|it| it.link) }
+        let min = |field: fn(Capacity) -> u32| all.clone().map(field).filter(|n| *n > 0).min().unwrap_or(0);
+        MinCapacity { processor: min(|c| c.processor), link: min(|c| c.link) }
     }
 
-    /// How often an instance is chosen, where the smallest one is chosen once: by its processor or its link, whichever
-    /// is scarcer. One that states neither counts as the smallest, and so does one that states only one where others
-    /// state both.
-    pub fn weight(self, it: Option<Capacity>) -> f64 {
-        let Some(it) = it else { return 1.0 };
-        let stated = [(it.processor, self.processor), (it.link, self.link)].into_iter().filter(|it| it.1 > 0);
-        let times = stated.map(|(it, least)| f64::from(it.max(least)) / f64::from(least));
-        times.reduce(f64::min).unwrap_or(1.0).min(MAX_WEIGHT)
+    /// Returns the placement weight of an instance, where the smallest instance has weight 1. The scarcer of processor and
+    /// link determines the weight. An instance that states neither counts as the smallest one, and so does an instance that
+    /// states only one of them where others state both.
+    pub fn weight(self, capacity: Option<Capacity>) -> f64 {
+        let Some(c) = capacity else { return 1.0 };
+        let stated = [(c.processor, self.processor), (c.link, self.link)].into_iter().filter(|r| r.1 > 0);
+        let ratios = stated.map(|(n, min)| f64::from(n.max(min)) / f64::from(min));
+        ratios.reduce(f64::min).unwrap_or(1.0).min(MAX_WEIGHT)
     }
 }
--- a/crates/core/src/classify.rs
+++ b/crates/core/src/classify.rs
@@ -1,7 +1,7 @@
-//! What a statement needs.
+//! Classification of SQL statements.
 //!
-//! Anything that is not known to be a plain read goes to the primary: a text that can't be parsed, a
-//! locking read, a call of a function that isn't on the list of harmless ones.
+//! Every statement that isn't known to be a plain read goes to the primary: a text that can't be parsed, a locking read, a
+//! call of a function that isn't on the list of read-only functions.
 
 use {
     pondtrack_proto::{Class, Name},
@@ -14,15 +14,15 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Texts kept with their classes.
-const CACHED: usize = 1_024;
-/// Texts longer than this are not kept, in bytes.
-const CACHED_LEN: usize = 4_096;
-/// The prefix of pondtrack's own settings.
+/// Maximum number of texts in the cache of a [`Classifier`].
+const MAX_CACHED: usize = 1_024;
+/// Maximum length of a cached text, in bytes.
+const MAX_CACHED_LEN: usize = 4_096;
+/// Prefix of pondtrack's own settings.
 pub const SETTING_PREFIX: &str = "pondtrack.";
 
-/// Functions known to only read, sorted.
-const HARMLESS: &[&str] = &[
+/// Functions known to be read-only, sorted.
+const READ_ONLY_FUNCTIONS: &[&str] = &[
     "abs",
     "array_agg",
     "avg",
@@ -80,74 +80,75 @@
     "version",
 ];
 
-/// What a text asks for.
+/// Statement as classified from its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Stmt {
-    /// Work for an upstream.
+    /// A statement for the upstream.
     Run(Class),
-    /// A session's setting; `local` ends with the transaction.
+    /// A change of a session's setting.
     Set {
-        /// The setting in lower case.
+        /// Name of the setting, in lower case.
         name: Name,
-        /// Its value without quotes; none for the default.
+        /// Value without quotes; `None` for the default.
         value: Option<Name>,
-        /// Whether it ends with the transaction.
+        /// True if the value is reset at the end of the transaction.
         local: bool,
     },
-    /// All settings back to their defaults.
+    /// A reset of all settings to their defaults.
     ResetAll,
-    /// A question about one of pondtrack's own settings.
+    /// A query of one of pondtrack's own settings, by its name without [`SETTING_PREFIX`].
     ShowSetting(Name),
-    /// Not possible on shared connections.
+    /// A statement that is not possible on shared connections, with the reason.
     Unsupported(&'static str),
-    /// Nothing at all.
+    /// An empty text.
     Empty,
 }
 
-/// Classifies texts and remembers them.
+/// Classifier with a cache.
 #[derive(Clone, Debug, Default)]
 pub struct Classifier {
-    known: Vec<(u64, Stmt)>,
+    /// Statements by the hash of their text, sorted.
+    cache: Vec<(u64, Stmt)>,
 }
 
 impl Classifier {
-    /// What a text asks for.
+    /// Classifies a text, or returns the cached result.
     pub fn classify(&mut self, text: &str) -> Stmt {
-        if text.len() > CACHED_LEN {
+        if text.len() > MAX_CACHED_LEN {
             return classify(text);
         }
         let hash = xxh3_64(text.as_bytes());
-        match self.known.binary_search_by_key(&hash, |it| it.0) {
-            Ok(at) => self.known[at].1.clone(),
+        match self.cache.binary_search_by_key(&hash, |entry| entry.0) {
+            Ok(at) => self.cache[at].1.clone(),
             Err(at) => {
-                let it = classify(text);
-                if self.known.len() >= CACHED {
-                    self.known.clear();
-                    self.known.push((hash, it.clone()));
+                let stmt = classify(text);
+                if self.cache.len() >= MAX_CACHED {
+                    self.cache.clear();
+                    self.cache.push((hash, stmt.clone()));
                 } else {
-                    self.known.insert(at, (hash, it.clone()));
+                    self.cache.insert(at, (hash, stmt.clone()));
                 }
-                it
+                stmt
             }
         }
     }
 }
 
-/// What a text asks for.
+/// Classifies a text.
 pub fn classify(text: &str) -> Stmt {
-    let text = strip(text);
+    let text = trim_statement(text);
     let word = first_word(text).to_ascii_lowercase();
     match word.as_str() {
         "" => Stmt::Empty,
-        _ if text.contains(';') => parsed(text),
+        _ if text.contains(';') => classify_parsed(text),
         "begin" | "start" => Stmt::Run(Class::Begin),
         "commit" | "end" => Stmt::Run(Class::Commit),
         "abort" => Stmt::Run(Class::Rollback),
         "rollback" if text.to_ascii_lowercase().contains(" to ") => Stmt::Run(Class::Write),
         "rollback" => Stmt::Run(Class::Rollback),
-        "set" => set(text),
-        "reset" => reset(text),
-        "show" => show(text),
+        "set" => parse_set(text),
+        "reset" => parse_reset(text),
+        "show" => parse_show(text),
         "listen" | "unlisten" | "notify" => {
             Stmt::Unsupported("LISTEN and NOTIFY need a connection of their own")
         }
@@ -155,13 +156,13 @@
         "prepare" | "execute" | "deallocate" | "declare" | "fetch" | "close" => {
             Stmt::Unsupported("prepared statements and cursors in SQL text need a connection of their own")
         }
-        "select" | "with" | "values" | "table" => parsed(text),
+        "select" | "with" | "values" | "table" => classify_parsed(text),
         _ => Stmt::Run(Class::Write),
     }
 }
 
-/// Removes blanks, comments before the first word and a last semicolon.
-fn strip(text: &str) -> &str {
+/// Removes whitespace, comments before the first word and trailing semicolons.
+fn trim_statement(text: &str) -> &str {
     let mut rest = text.trim().trim_end_matches(|c: char| c == ';' || c.is_whitespace());
     loop {
         rest = rest.trim_start();
@@ -171,7 +172,7 @@
             _ => None,
         };
         match after {
-            Some(it) => rest = it,
+            Some(after) => rest = after,
             None => return rest,
         }
     }
@@ -182,12 +183,12 @@
     &text[..end]
 }
 
-fn parsed(text: &str) -> Stmt {
-    let reads = match Parser::parse_sql(&PostgreSqlDialect {}, text) {
+fn classify_parsed(text: &str) -> Stmt {
+    let is_read = match Parser::parse_sql(&PostgreSqlDialect {}, text) {
         Ok(list) if list.iter().any(ends_transaction) => {
             return Stmt::Unsupported("BEGIN, COMMIT, ROLLBACK and SET have to be sent on their own");
         }
-        Ok(list) => !list.is_empty() && list.iter().all(is_read),
+        Ok(list) => !list.is_empty() && list.iter().all(is_read_only),
         Err(_) if mentions_transaction(text) => {
             return Stmt::Unsupported(
                 "several statements that can't be read, with a word that ends transactions",
@@ -195,12 +196,12 @@
         }
         Err(_) => false,
     };
-    Stmt::Run(if reads { Class::Read } else { Class::Write })
+    Stmt::Run(if is_read { Class::Read } else { Class::Write })
 }
 
-fn ends_transaction(it: &Statement) -> bool {
+fn ends_transaction(stmt: &Statement) -> bool {
     matches!(
-        it,
+        stmt,
         Statement::StartTransaction { .. }
             | Statement::Commit { .. }
             | Statement::Rollback { savepoint: None, .. }
@@ -208,11 +209,12 @@
     )
 }
 
-/// Whether a text that can't be parsed may hold a statement that begins or ends a transaction.
+/// Returns true if a text that can't be parsed may contain a statement that begins or ends a transaction, or changes
+/// settings.
 fn mentions_transaction(text: &str) -> bool {
     text.contains(';')
         && text.split(';').any(|part| {
-            let word = first_word(strip(part)).to_ascii_lowercase();
+            let word = first_word(trim_statement(part)).to_ascii_lowercase();
             matches!(
                 word.as_str(),
                 "begin" | "start" | "commit" | "end" | "abort" | "rollback" | "set" | "reset"
@@ -220,55 +222,55 @@
         })
 }
 
-fn is_read(it: &Statement) -> bool {
-    matches!(it, Statement::Query(_)) && it.visit(&mut ReadCheck).is_continue()
+fn is_read_only(stmt: &Statement) -> bool {
+    matches!(stmt, Statement::Query(_)) && stmt.visit(&mut ReadOnlyVisitor).is_continue()
 }
 
-/// Stops at the first part of a statement that may do more than read.
-struct ReadCheck;
+/// Visitor that stops at the first part of a statement that may do more than read.
+struct ReadOnlyVisitor;
 
-impl Visitor for ReadCheck {
+impl Visitor for ReadOnlyVisitor {
     type Break = ();
 
     fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
-        go_on(query.locks.is_empty() && body_reads(&query.body))
+        continue_if(query.locks.is_empty() && is_read_only_body(&query.body))
     }
 
     fn pre_visit_table_factor(&mut self, table: &TableFactor) -> ControlFlow<()> {
-        let plain = match table {
+        let read_only = match table {
             TableFactor::Table { args, .. } => args.is_none(),
             TableFactor::Derived { .. } | TableFactor::NestedJoin { .. } => true,
             _ => false,
         };
-        go_on(plain)
+        continue_if(read_only)
     }
 
     fn pre_visit_expr(&mut self, expr: &Expr) -> ControlFlow<()> {
         match expr {
-            Expr::Function(f) => go_on(is_harmless(&f.name.to_string())),
+            Expr::Function(f) => continue_if(is_read_only_function(&f.name.to_string())),
             _ => ControlFlow::Continue(()),
         }
     }
 }
 
-fn go_on(yes: bool) -> ControlFlow<()> {
-    if yes { ControlFlow::Continue(()) } else { ControlFlow::Break(()) }
+fn continue_if(read_only: bool) -> ControlFlow<()> {
+    if read_only { ControlFlow::Continue(()) } else { ControlFlow::Break(()) }
 }
 
-fn body_reads(body: &SetExpr) -> bool {
+fn is_read_only_body(body: &SetExpr) -> bool {
     match body {
-        SetExpr::Select(it) => it.into.is_none(),
-        SetExpr::SetOperation { left, right, .. } => body_reads(left) && body_reads(right),
+        SetExpr::Select(select) => select.into.is_none(),
+        SetExpr::SetOperation { left, right, .. } => is_read_only_body(left) && is_read_only_body(right),
         SetExpr::Query(_) | SetExpr::Values(_) | SetExpr::Table(_) => true,
         _ => false,
     }
 }
 
-fn is_harmless(name: &str) -> bool {
-    HARMLESS.binary_search(&name.to_ascii_lowercase().as_str()).is_ok()
+fn is_read_only_function(name: &str) -> bool {
+    READ_ONLY_FUNCTIONS.binary_search(&name.to_ascii_lowercase().as_str()).is_ok()
 }
 
-fn set(text: &str) -> Stmt {
+fn parse_set(text: &str) -> Stmt {
     let mut rest = text[3..].trim_start();
     let mut local = false;
     match first_word(rest).to_ascii_lowercase().as_str() {
@@ -287,16 +289,16 @@
     let (name, tail) = rest.split_at(end);
     let tail = tail.trim_start();
     let value = match (tail.strip_prefix('='), first_word(tail).eq_ignore_ascii_case("to")) {
-        (Some(it), _) => it,
+        (Some(value), _) => value,
         (None, true) => &tail[2..],
-        // Forms without a sign, such as SET TIME ZONE, are left to the upstream and refused there.
+        // Forms without `=` or TO, such as SET TIME ZONE, are not supported.
         (None, false) => return Stmt::Unsupported("write SET name = value"),
     };
     let name = Name::from(name.trim_matches('"').to_ascii_lowercase());
     Stmt::Set { name, value: unquote(value), local }
 }
 
-fn reset(text: &str) -> Stmt {
+fn parse_reset(text: &str) -> Stmt {
     let name = text[5..].trim().to_ascii_lowercase();
     match name.as_str() {
         "all" => Stmt::ResetAll,
@@ -304,20 +306,20 @@
     }
 }
 
-fn show(text: &str) -> Stmt {
+fn parse_show(text: &str) -> Stmt {
     let name = text[4..].trim().trim_matches('"').to_ascii_lowercase();
     match name.strip_prefix(SETTING_PREFIX) {
-        Some(it) => Stmt::ShowSetting(it.into()),
+        Some(own) => Stmt::ShowSetting(own.into()),
         None => Stmt::Run(Class::Read),
     }
 }
 
-/// The value of a setting without its quotes; none stands for the default.
+/// Returns the value of a setting without quotes; `None` for the default.
 fn unquote(text: &str) -> Option<Name> {
     let text = text.trim();
-    let inner = text.strip_prefix('\'').and_then(|it| it.strip_suffix('\''));
+    let inner = text.strip_prefix('\'').and_then(|rest| rest.strip_suffix('\''));
     match inner {
-        Some(it) => Some(it.replace("''", "'").into()),
+        Some(inner) => Some(inner.replace("''", "'").into()),
         None if text.eq_ignore_ascii_case("default") => None,
         None => Some(text.into()),
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -24,16 +24,16 @@
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`classify`] | what a statement needs |
-//! | [`route`] | which server answers a read |
-//! | [`balance`] | what a server costs at present |
+//! | [`classify`] | classification of SQL statements |
+//! | [`route`] | routing of reads to servers |
+//! | [`balance`] | load balancing: the cost of a server at present |
 //! | [`placement`] | home instances and their shares of connections |
-//! | [`intervals`] | how often instances call the store |
-//! | [`capacity`] | what an instance can carry |
-//! | [`admission`] | queues, fairness and learned limits |
-//! | [`budget`] | how long a statement may wait before a server has it |
+//! | [`intervals`] | intervals of the calls to the store |
+//! | [`capacity`] | capacity of an instance relative to others |
+//! | [`admission`] | admission queues and adaptive concurrency limits |
+//! | [`budget`] | time budget of a statement for its waits |
 //! | [`quota`] | usage limits of organisations over all instances |
-//! | [`scheduler`] | who runs next at a server that has too much to do |
+//! | [`scheduler`] | scheduler of the statements at an overloaded server |
 //! | [`retry`] | budgets and backoff |
 //! | [`retry_after`] | when callers that were refused may come back |
 //! | [`member`] | probes, suspicion, incarnations |
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,23 +1,23 @@
-//! Which server answers a read.
+//! Routing of reads to servers.
 //!
-//! The choice is made from what the last answers showed; whether it was right is checked on the answer
-//! itself, so an old view costs a retry and never a wrong read.
+//! The choice is based on the servers' last responses. The response to the read itself is checked for the required
+//! position, so a stale view causes a retry and never a wrong read.
 
 use {
     crate::Time,
     pondtrack_proto::{Lsn, Mark, Name, Term},
 };
 
-/// Costs and bounds of the choice, in milliseconds.
+/// Costs and limits of read routing, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteConfig {
-    /// The longest time a read waits at a replica for its mark.
+    /// Maximum time for which a read waits at a replica until its mark is applied.
     pub max_wait: u64,
-    /// What another availability zone counts.
+    /// Cost of a server in another availability zone.
     pub zone_cost: u64,
-    /// What each request running or queued there counts.
+    /// Cost of each request that runs or is queued at the server.
     pub queue_cost: u64,
-    /// A server not heard for this long gets no reads.
+    /// Time since the last contact after which a server gets no reads.
     pub max_silence: u64,
 }
 
@@ -27,61 +27,61 @@
     }
 }
 
-/// What is known of a server when a read is routed.
+/// State of a server that reads can be routed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its place in the group.
+    /// Index of the server in the group.
     pub server: usize,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: Name,
-    /// Whether it is the primary.
+    /// True if the server is the primary.
     pub is_primary: bool,
-    /// Whether new work may go there: it isn't draining and its connections work.
+    /// True if the server accepts new requests: it isn't draining and its connections work.
     pub accepts_work: bool,
-    /// When it last answered.
+    /// Time of the last response.
     pub last_contact: Option<Time>,
-    /// Its term.
+    /// Term of the server.
     pub term: Term,
-    /// The last entry of its log.
+    /// Position of the last entry of the log.
     pub received: Mark,
-    /// What its reads show.
+    /// Position up to which the log is applied and visible to reads.
     pub applied: Lsn,
-    /// How far it was behind the primary lately, in milliseconds.
+    /// Recent lag behind the primary, in milliseconds.
     pub lag: u64,
-    /// Requests running or queued there.
+    /// Number of requests that run or are queued at the server.
     pub queued: usize,
 }
 
-/// Where a read goes.
+/// Destination of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// To a replica, which may wait so long for the mark.
+    /// A replica.
     Replica {
-        /// The server.
+        /// Index of the server in the group.
         server: usize,
-        /// The longest wait there, in milliseconds.
+        /// Maximum wait for the mark at the replica, in milliseconds.
         wait: u64,
     },
-    /// To the primary.
+    /// The primary.
     Primary {
-        /// The server.
+        /// Index of the server in the group.
         server: usize,
     },
-    /// Unavailable at present.
+    /// No server is available at present.
     Unavailable,
 }
 
-/// Whether a replica's own account allows it to answer a read that needs `mark`.
+/// Returns true if a replica with this reported state may answer a read that needs `mark`.
 ///
-/// Its log has to end with an entry of the term it follows: then a majority, the primary and itself,
-/// holds all it shows. A term below the mark's may show what was dropped since.
+/// The log must end with an entry of the term that the replica follows: then a majority, the primary and the replica,
+/// holds every visible entry. A replica at a term below the mark's may show entries that were discarded since.
 pub fn can_answer(term: Term, received: Mark, applied: Lsn, mark: Mark) -> bool {
     received.term == term && term >= mark.term && applied >= mark.lsn
 }
 
-/// Chooses a server for a read that needs `mark`, leaving out those already tried.
+/// Chooses a server for a read that needs `mark`, other than those in `tried`.
 ///
-/// `aged` tells of a candidate whether policy lets it answer as it is; with no stated age it says yes.
+/// `is_fresh` returns true if the staleness of a replica is within the read's policy, or if the policy sets no maximum age.
 pub fn choose(
     config: &RouteConfig,
     now: Time,
@@ -89,26 +89,26 @@
     mark: Mark,
     candidates: &[Candidate],
     tried: &[usize],
-    aged: impl Fn(&Candidate) -> bool,
+    is_fresh: impl Fn(&Candidate) -> bool,
 ) -> Target {
-    let usable = |it: &&Candidate| {
-        let heard = it.last_contact.is_some_and(|at| now.saturating_sub(at) <= config.max_silence);
-        it.accepts_work && heard && !tried.contains(&it.server)
+    let usable = |c: &&Candidate| {
+        let in_contact = c.last_contact.is_some_and(|at| now.saturating_sub(at) <= config.max_silence);
+        c.accepts_work && in_contact && !tried.contains(&c.server)
     };
-    let cost = |it: &Candidate| {
-        let away = if it.zone == zone { 0 } else { config.zone_cost };
-        away + config.queue_cost * it.queued as u64
+    let cost = |c: &Candidate| {
+        let zone_cost = if c.zone == zone { 0 } else { config.zone_cost };
+        zone_cost + config.queue_cost * c.queued as u64
     };
-    let wait = |it: &Candidate| if it.applied >= mark.lsn { 0 } else { it.lag.max(1) };
+    let wait = |c: &Candidate| if c.applied >= mark.lsn { 0 } else { c.lag.max(1) };
     let replicas = candidates
         .iter()
         .filter(usable)
-        .filter(|it| !it.is_primary && it.received.term == it.term && it.term >= mark.term)
-        .filter(|it| wait(it) <= config.max_wait && aged(it));
-    match replicas.min_by_key(|it| (cost(it) + wait(it), it.server)) {
-        Some(it) => Target::Replica { server: it.server, wait: config.max_wait },
-        None => match candidates.iter().filter(usable).find(|it| it.is_primary) {
-            Some(it) => Target::Primary { server: it.server },
+        .filter(|c| !c.is_primary && c.received.term == c.term && c.term >= mark.term)
+        .filter(|c| wait(c) <= config.max_wait && is_fresh(c));
+    match replicas.min_by_key(|c| (cost(c) + wait(c), c.server)) {
+        Some(c) => Target::Replica { server: c.server, wait: config.max_wait },
+        None => match candidates.iter().filter(usable).find(|c| c.is_primary) {
+            Some(c) => Target::Primary { server: c.server },
             None => Target::Unavailable,
         },
     }
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -1,17 +1,17 @@
-//! Scheduler of the statements at one server that is overloaded.
+//! Scheduler for the statements at an overloaded server.
 //!
-//! A concurrency limit shrinks when statements at the server are slow or refused, so that work queues here, where it
-//! can be ordered, and not in the server's own queue. Queued statements are ordered by these criteria, the first one
-//! that differs decides: statements of open transactions, as they hold a connection; the route's priority; statements
-//! that can still meet their deadline; the shorter kind of work; arrival.
+//! The concurrency limit of a server shrinks when statements are slow or refused there, so that statements queue in this
+//! process, where they can be ordered, and not in the server. Queued statements are ordered by the first of these criteria
+//! in which they differ: statements of open transactions go first, as they hold a connection; then the route's priority;
+//! then statements that can still meet their deadline; then the shorter kind of work; then arrival.
 //!
-//! Ordering alone doesn't help where the demand exceeds the server's capacity: the statements at the end of the queue
-//! wait until their deadline has passed. A statement that would wait for a large part of its remaining time is
-//! therefore rejected immediately, so that its caller can retry elsewhere in time. A queue as long as the whole
-//! remaining time would make every statement that passes through it late.
+//! Ordering alone doesn't help if the demand exceeds the server's capacity: the statements at the end of the queue wait
+//! until their deadline has passed. A statement that would wait for a large part of its remaining time is therefore
+//! rejected immediately, so that its caller can retry elsewhere in time. In a queue as long as the whole remaining time,
+//! every statement would be late.
 //!
-//! Where callers are attributed to owners, fair queueing keeps each owner close to its share while others wait, and
-//! each kind of work gets a small minimum share of the server whatever has a higher priority.
+//! If callers are attributed to owners, fair queueing keeps each owner close to its share while others wait, and each kind
+//! of work gets a small minimum share of the server regardless of priorities.
 //!
 //! Times are in microseconds.
 
@@ -33,7 +33,7 @@
 const DEFAULT_MAX_LIMIT: f64 = 4.0;
 /// Lower bound of the limit.
 const MIN_LIMIT: f64 = 1.0;
-/// Factor that the limit is multiplied with for each statement that was slow or refused.
+/// Factor applied to the limit for each statement that was slow or refused.
 const DECREASE_FACTOR: f64 = 0.85;
 /// Added to the limit for each fast statement, so that ten of them raise the limit by one.
 const INCREASE_STEP: f64 = 0.1;
@@ -67,7 +67,8 @@
     pub pinned: bool,
     /// Priority of the route; 0 is the highest.
     pub priority: u8,
-    /// Latest time at which the statement can start and still meet its caller's objective.
+    /// Latest time at which the statement can start and still meet its caller's objective. A statement past this time may
+    /// still run, after the others of its priority.
     #[serde(rename = "aim")]
     pub soft_deadline: Time,
     /// Identifier of the kind of work. Kinds differ in how long their statements take.
@@ -194,7 +195,8 @@
         self.running < self.limit() && self.queue.is_empty()
     }
 
-    /// Returns true if a statement would be queued for too large a part of its remaining time.
+    /// Returns true if a statement would be queued for too large a part of its remaining time. Also records the demand for
+    /// the minimum share of its class.
     pub fn should_reject(&mut self, rank: Rank, now: Time) -> bool {
         self.min_share.note_demand(class(&rank), self.request_work(&rank));
         let left = rank.soft_deadline.saturating_sub(now);
@@ -236,7 +238,8 @@
         keys.into_iter().filter(|key| Some(*key) <= own).count()
     }
 
-    /// Expected time until the statement gets a permit by the minimum share of its class; [`Time::MAX`] if it can't.
+    /// Expected time until the statement gets a permit by the minimum share of its class; [`Time::MAX`] if the minimum
+    /// share doesn't apply.
     fn min_share_wait(&self, rank: Rank, now: Time) -> Time {
         if rank.share.owner == 0 || !self.is_eligible(&rank, now) {
             return Time::MAX;
@@ -287,7 +290,7 @@
         let due = self.due_by_min_share(first, now);
         self.running += 1;
         self.update_interval(now);
-        // Vec::remove and not swap_remove: statements with equal keys are scheduled in the order of arrival.
+        // `Vec::remove` keeps the order of arrival among statements with equal keys.
         let (rank, waiter) = self.queue.remove(due.map_or(first, |entry| entry.0));
         let work = self.permit_work(&rank);
         self.min_share.record_permit(class(&rank), work, due.map(|entry| entry.1));
@@ -320,7 +323,7 @@
     }
 
     /// Returns true if the minimum share applies: the class is starved, the owner is within its share, and the statement
-    /// can still meet its deadline.
+    /// can still meet its deadline and isn't part of an open transaction.
     fn is_eligible(&self, rank: &Rank, now: Time) -> bool {
         let useful = !rank.pinned && now <= rank.soft_deadline;
         useful
--- a/crates/core/src/scheduler/fair.rs
+++ b/crates/core/src/scheduler/fair.rs
@@ -1,8 +1,8 @@
 //! Start-time fair queueing of the owners at one server.
 //!
-//! The virtual time of an owner advances by the work of its permits divided by its weight. The virtual time of the server is
-//! the lowest one among the owners with queued statements. An owner that returns after a pause starts at the server's
-//! virtual time: it has no credit for the pause and no debt from before.
+//! The virtual time of an owner advances by the work of its permits divided by its weight. The virtual time of the server
+//! is the lowest one among the owners with queued statements. An owner that returns after a pause starts at the server's
+//! virtual time, without credit for the pause and without debt from before.
 //!
 //! The most urgent work of an owner has the first claim on its share: statements of one priority are charged with the work
 //! that the owner has had of that priority and more urgent ones, and not with its less urgent work.
@@ -13,7 +13,8 @@
 /// before ordinary statements of other owners, and an owner that floods the queue gets ahead by a few statements at most.
 const MAX_LEAD: f64 = 20_000.0;
 
-/// Maximum number of tracked owners without queued statements: more than get permits at one server within a lead.
+/// Maximum number of tracked owners without queued statements. Fewer owners get permits at one server within one
+/// [`MAX_LEAD`].
 const MAX_IDLE: usize = 256;
 
 /// State of one owner.
--- a/crates/core/src/scheduler/min_share.rs
+++ b/crates/core/src/scheduler/min_share.rs
@@ -1,4 +1,4 @@
-//! Minimum share of the server for each class of work, whatever has a higher priority.
+//! Minimum share of the server for each class of work, regardless of priorities.
 //!
 //! Classes that are starved by the queue's order share a small part of the server's work. Each accrues credit, also while
 //! none of its statements are queued, until the credit covers one request. The class that has been without a permit for
@@ -38,7 +38,7 @@
     permits: u64,
     /// Sorted by class.
     classes: Vec<ClassState>,
-    /// Average work of a permit.
+    /// Average work of a permit, in microseconds.
     mean_work: f64,
     /// Number of permits granted by the minimum share since the last [`MinShare::take_granted`].
     granted: u64,
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Classification, routing, placement, admission, retries, detection.
+//! Classification, read routing, placement, admission, retries and failure detection.
 
 use {
     pondtrack_core::{
@@ -39,7 +39,7 @@
 #[case("ROLLBACK", Class::Rollback)]
 #[case("ROLLBACK TO SAVEPOINT a", Class::Write)]
 #[case("SAVEPOINT a", Class::Write)]
-fn statements_have_a_class(#[case] text: &str, #[case] class: Class) {
+fn statements_are_classified(#[case] text: &str, #[case] class: Class) {
     assert_eq!(classify(text), Stmt::Run(class));
 }
 
@@ -49,7 +49,7 @@
 #[case("LISTEN news")]
 #[case("COPY stock FROM stdin")]
 #[case("DECLARE c CURSOR FOR SELECT 1")]
-fn what_shared_connections_cannot_do_is_refused(#[case] text: &str) {
+fn statements_impossible_on_shared_connections_are_unsupported(#[case] text: &str) {
     assert!(matches!(classify(text), Stmt::Unsupported(_)), "{:?}", classify(text));
 }
 
@@ -59,7 +59,7 @@
 #[case("SET LOCAL x = 1", "x", Some("1"), true)]
 #[case("SET x = DEFAULT", "x", None, false)]
 #[case("RESET x", "x", None, false)]
-fn settings_are_read(
+fn setting_statements_are_parsed(
     #[case] text: &str,
     #[case] name: &str,
     #[case] value: Option<&str>,
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn reads_go_to_a_replica_that_has_the_mark_or_soon_will() {
+fn reads_go_to_a_replica_that_has_applied_the_mark_or_will_soon() {
     let list = [candidate(0, 100), candidate(1, 90), candidate(2, 100)];
     let replica = |server| Target::Replica { server, wait: 60 };
     assert_eq!(pick(&list, Mark::new(2, 100), &[]), replica(2));
@@ -104,15 +104,15 @@
 #[case::silent(Candidate { last_contact: Some(0), ..candidate(1, 100) })]
 #[case::older_term(Candidate { term: Term(1), received: Mark::new(1, 100), ..candidate(1, 100) })]
 #[case::log_of_an_older_term(Candidate { received: Mark::new(1, 100), ..candidate(1, 100) })]
-fn such_a_replica_gets_no_reads(#[case] it: Candidate) {
-    assert_eq!(pick(&[candidate(0, 100), it], Mark::new(2, 50), &[]), Target::Primary { server: 0 });
+fn unusable_replicas_get_no_reads(#[case] replica: Candidate) {
+    assert_eq!(pick(&[candidate(0, 100), replica], Mark::new(2, 50), &[]), Target::Primary { server: 0 });
 }
 
 #[test]
-fn near_and_idle_replicas_come_first() {
-    let far = Candidate { zone: "b".into(), ..candidate(1, 100) };
+fn local_and_idle_replicas_are_preferred() {
+    let remote = Candidate { zone: "b".into(), ..candidate(1, 100) };
     let busy = Candidate { queued: 5, ..candidate(2, 100) };
-    let list = [candidate(0, 100), far, busy.clone()];
+    let list = [candidate(0, 100), remote, busy.clone()];
     assert_eq!(pick(&list, Mark::default(), &[]), Target::Replica { server: 1, wait: 60 });
     let list = [candidate(0, 100), Candidate { queued: 1, ..busy }];
     assert_eq!(pick(&list, Mark::default(), &[]), Target::Replica { server: 2, wait: 60 });
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn homes_are_spread_over_zones_and_a_join_moves_its_share_only() {
+fn homes_are_in_different_zones_and_a_join_moves_only_its_share() {
     let before = members(30);
     let after = members(33);
     let mut moved = 0;
@@ -153,25 +153,28 @@
         let old = placement::homes(&spec(n), &before);
         let new = placement::homes(&spec(n), &after);
         let mut zones: Vec<_> =
-            old.iter().map(|it| &placement::find(&before, it).expect("a member").zone).collect();
+            old.iter().map(|name| &placement::find(&before, name).expect("a member").zone).collect();
         zones.sort();
         zones.dedup();
         assert_eq!(zones.len(), 3);
-        for it in new.iter().filter(|it| !old.contains(it)) {
-            assert!(placement::find(&before, it).is_none(), "an old instance took a group over on a join");
+        for name in new.iter().filter(|name| !old.contains(name)) {
+            assert!(
+                placement::find(&before, name).is_none(),
+                "a group moved to an instance that was there before"
+            );
             moved += 1;
         }
     }
-    // Three of 33 join, so a home moves with the chance of 1 in 11.
+    // Three of 33 instances have joined, so a home moves with a probability of 1 in 11.
     let share = f64::from(moved) / (870.0 * 3.0);
     assert!((0.06..0.13).contains(&share), "{share}");
 }
 
 #[test]
-fn a_leaving_instance_is_no_home() {
+fn a_leaving_instance_is_not_a_home() {
     let mut list = members(6);
     let old = placement::homes(&spec(1), &list);
-    let at = list.iter().position(|it| it.name == old[0]).expect("a member");
+    let at = list.iter().position(|m| m.name == old[0]).expect("a member");
     list[at].state = MemberState::Leaving;
     assert!(!placement::homes(&spec(1), &list).contains(&old[0]));
 }
@@ -181,7 +184,7 @@
 #[case(40, 3)]
 #[case(25, 1)]
 #[case(7, 3)]
-fn shares_never_exceed_a_servers_limit(#[case] limit: u32, #[case] homes: usize) {
+fn shares_never_exceed_the_limit_of_a_server(#[case] limit: u32, #[case] homes: usize) {
     let all: u32 = (0..homes)
         .map(|rank| placement::connection_share(limit, homes, rank) + placement::CONTROL_CONNS)
         .sum();
@@ -189,19 +192,22 @@
 }
 
 #[test]
-fn callers_take_turns_and_the_hopeless_are_refused_at_once() {
-    let mut it = AdmissionQueue::new(AdmissionConfig { max_queued: 4, reserved_slots: 0 }, 1);
+fn callers_are_served_round_robin_and_late_requests_are_rejected_immediately() {
+    let mut queue = AdmissionQueue::new(AdmissionConfig { max_queued: 4, reserved_slots: 0 }, 1);
     let (greedy, modest) = (Name::from("greedy"), Name::from("modest"));
-    assert_eq!(it.submit(0, &greedy, 1_000, false), Admission::Admitted);
-    let waits: Vec<Admission> = (0..3).map(|_| it.submit(0, &greedy, 1_000, false)).collect();
-    let Admission::Queued(other) = it.submit(0, &modest, 1_000, false) else { panic!("it waits") };
-    assert!(matches!(it.submit(0, &modest, 1_000, false), Admission::Rejected { .. }), "the queue is full");
-    assert_eq!(it.complete(10, Some(10), false).len(), 1);
-    // The second turn is the other caller's, although two of the first one came before.
-    assert_eq!(it.complete(20, Some(10), false), [Dequeued { ticket: other, admitted: true }]);
+    assert_eq!(queue.submit(0, &greedy, 1_000, false), Admission::Admitted);
+    let waits: Vec<Admission> = (0..3).map(|_| queue.submit(0, &greedy, 1_000, false)).collect();
+    let Admission::Queued(other) = queue.submit(0, &modest, 1_000, false) else { panic!("not queued") };
+    assert!(
+        matches!(queue.submit(0, &modest, 1_000, false), Admission::Rejected { .. }),
+        "the queue is full"
+    );
+    assert_eq!(queue.complete(10, Some(10), false).len(), 1);
+    // The second slot goes to the other caller, although two requests of the first caller came before.
+    assert_eq!(queue.complete(20, Some(10), false), [Dequeued { ticket: other, admitted: true }]);
     assert_eq!(waits.len(), 3);
     for _ in 0..100 {
-        it.complete(30, Some(400), false);
+        queue.complete(30, Some(400), false);
     }
     let mut slow = AdmissionQueue::new(AdmissionConfig { max_queued: 100, reserved_slots: 0 }, 1);
     slow.submit(0, &greedy, 10, false);
@@ -213,42 +219,46 @@
 }
 
 #[test]
-fn what_could_not_be_done_in_time_is_refused_before_it_begins() {
-    let mut it = AdmissionQueue::new(AdmissionConfig { max_queued: 100, reserved_slots: 0 }, 1);
+fn requests_that_cannot_complete_in_time_are_rejected_before_they_start() {
+    let mut queue = AdmissionQueue::new(AdmissionConfig { max_queued: 100, reserved_slots: 0 }, 1);
     let name = Name::from("a");
     for _ in 0..200 {
-        it.submit(0, &name, 1_000, false);
-        it.complete(0, Some(20), false);
+        queue.submit(0, &name, 1_000, false);
+        queue.complete(0, Some(20), false);
     }
-    assert_eq!(it.submit(0, &name, 1_000, false), Admission::Admitted);
-    let Admission::Queued(ticket) = it.submit(0, &name, 100, false) else { panic!("it waits") };
-    // It is its turn at 90, but a request takes 20: begun, it would be cut at its deadline, its fate unknown.
-    assert_eq!(it.complete(90, None, false), [Dequeued { ticket, admitted: false }]);
-    assert_eq!((it.running(), it.queued()), (0, 0));
+    assert_eq!(queue.submit(0, &name, 1_000, false), Admission::Admitted);
+    let Admission::Queued(ticket) = queue.submit(0, &name, 100, false) else { panic!("not queued") };
+    // A slot is free at 90, but requests take 20: a request that starts then would be aborted at its deadline, with an
+    // unknown outcome.
+    assert_eq!(queue.complete(90, None, false), [Dequeued { ticket, admitted: false }]);
+    assert_eq!((queue.running(), queue.queued()), (0, 0));
 }
 
 #[test]
-fn idle_transactions_leave_a_slot_free() {
-    let mut it = AdmissionQueue::new(AdmissionConfig { max_queued: 10, reserved_slots: 1 }, 3);
+fn idle_transactions_leave_the_reserved_slot_free() {
+    let mut queue = AdmissionQueue::new(AdmissionConfig { max_queued: 10, reserved_slots: 1 }, 3);
     let name = Name::from("a");
-    assert_eq!(it.submit(0, &name, 100, true), Admission::Admitted);
-    assert_eq!(it.submit(0, &name, 100, true), Admission::Admitted);
-    assert!(matches!(it.submit(0, &name, 100, true), Admission::Queued(_)));
+    assert_eq!(queue.submit(0, &name, 100, true), Admission::Admitted);
+    assert_eq!(queue.submit(0, &name, 100, true), Admission::Admitted);
+    assert!(matches!(queue.submit(0, &name, 100, true), Admission::Queued(_)));
     let other = Name::from("b");
-    assert!(matches!(it.submit(0, &other, 100, false), Admission::Queued(_)), "it queues behind");
-    assert_eq!(it.dispatch(0).len(), 1, "the single statement takes the free slot");
+    assert!(
+        matches!(queue.submit(0, &other, 100, false), Admission::Queued(_)),
+        "it is queued behind the transaction"
+    );
+    assert_eq!(queue.dispatch(0).len(), 1, "the single statement takes the reserved slot");
 }
 
 #[test]
-fn the_learned_limit_shrinks_under_latency_and_grows_back() {
-    let mut it = AdmissionQueue::new(AdmissionConfig::default(), 20);
+fn the_concurrency_limit_shrinks_with_high_latency_and_recovers() {
+    let mut queue = AdmissionQueue::new(AdmissionConfig::default(), 20);
     let name = Name::from("a");
     let mut run = |ms: u64, n: usize| {
         for _ in 0..n {
-            it.submit(0, &name, 1_000, false);
-            it.complete(0, Some(ms), false);
+            queue.submit(0, &name, 1_000, false);
+            queue.complete(0, Some(ms), false);
         }
-        it.limit()
+        queue.limit()
     };
     assert_eq!(run(2, 100), 20);
     let low = run(200, 200);
@@ -257,23 +267,23 @@
 }
 
 #[test]
-fn retries_are_a_share_of_successes() {
-    let mut it = Budget::default();
-    let first = (0..1_000).filter(|_| it.spend()).count();
+fn the_retry_budget_is_a_share_of_successes() {
+    let mut budget = Budget::default();
+    let first = (0..1_000).filter(|_| budget.spend()).count();
     assert!(first <= 50);
     for _ in 0..100 {
-        it.earn();
+        budget.earn();
     }
-    assert_eq!((0..1_000).filter(|_| it.spend()).count(), 20);
+    assert_eq!((0..1_000).filter(|_| budget.spend()).count(), 20);
 }
 
 #[test]
-fn waits_grow_with_jitter_up_to_their_cap() {
+fn backoff_grows_with_jitter_up_to_its_maximum() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let mut it = Backoff::new(10, 100);
-    let waits: Vec<u64> = (0..8).map(|_| it.next(&mut rng)).collect();
+    let mut backoff = Backoff::new(10, 100);
+    let waits: Vec<u64> = (0..8).map(|_| backoff.next(&mut rng)).collect();
     assert!((5..=10).contains(&waits[0]));
-    assert!(waits.iter().skip(5).all(|it| (50..=100).contains(it)), "{waits:?}");
+    assert!(waits.iter().skip(5).all(|ms| (50..=100).contains(ms)), "{waits:?}");
 }
 
 fn detector() -> Detector {
@@ -281,11 +291,11 @@
 }
 
 #[rstest]
-#[case::well(Heard { last: Some(990), refused: None }, None, None)]
+#[case::healthy(Heard { last: Some(990), refused: None }, None, None)]
 #[case::silent(Heard { last: Some(500), refused: None }, None, Some(Cause::Silent))]
 #[case::refused(Heard { last: Some(990), refused: Some(800) }, None, Some(Cause::Refused))]
 #[case::stalled(Heard { last: Some(990), refused: None }, Some(400), Some(Cause::Stalled))]
-fn a_primary_is_given_up_for_a_cause(
+fn a_primary_is_suspected_for_a_cause(
     #[case] heard: Heard,
     #[case] stalled: Option<u64>,
     #[case] cause: Option<Cause>,
@@ -294,35 +304,35 @@
 }
 
 #[test]
-fn absence_counts_from_its_beginning_and_lower_ranks_wait_longer() {
-    let it = detector();
-    assert_eq!(it.judge(10_000, 0, None, Some(9_990), None), None);
-    assert_eq!(it.judge(10_400, 0, None, Some(9_990), None), Some(Cause::Absent));
-    assert_eq!(it.judge(10_400, 1, None, Some(9_990), None), None);
+fn absence_is_measured_from_its_start_and_lower_ranks_wait_longer() {
+    let detector = detector();
+    assert_eq!(detector.judge(10_000, 0, None, Some(9_990), None), None);
+    assert_eq!(detector.judge(10_400, 0, None, Some(9_990), None), Some(Cause::Absent));
+    assert_eq!(detector.judge(10_400, 1, None, Some(9_990), None), None);
 }
 
 #[test]
-fn after_a_pause_of_its_own_an_instance_starts_from_nothing() {
-    let mut it = detector();
-    assert!(!it.look(1_000));
-    assert!(it.look(9_000));
+fn detection_restarts_after_a_pause_of_the_process() {
+    let mut detector = detector();
+    assert!(!detector.look(1_000));
+    assert!(detector.look(9_000));
     let heard = Heard { last: Some(1_000), refused: None };
-    assert_eq!(it.judge(9_010, 0, Some(&heard), None, Some(1_000)), None);
+    assert_eq!(detector.judge(9_010, 0, Some(&heard), None, Some(1_000)), None);
 }
 
 #[test]
-fn another_home_that_hears_the_primary_speaks_against() {
-    let it = detector();
+fn a_home_in_contact_with_the_primary_vetoes() {
+    let detector = detector();
     let vetoed = |cause, term: Option<u64>, stalled| {
-        it.is_vetoed(cause, Term(5), &[Opinion { from: "p1".into(), term: term.map(Term), stalled }])
+        detector.is_vetoed(cause, Term(5), &[Opinion { from: "p1".into(), term: term.map(Term), stalled }])
     };
     assert!(vetoed(Cause::Silent, Some(5), false));
-    assert!(vetoed(Cause::Absent, Some(6), false), "the next primary is only out of reach from here");
+    assert!(vetoed(Cause::Absent, Some(6), false), "the next primary is only unreachable from this home");
     assert!(!vetoed(Cause::Silent, Some(5), true));
     assert!(!vetoed(Cause::Silent, None, false));
     assert!(!vetoed(Cause::Silent, Some(4), false));
     assert!(!vetoed(Cause::Stalled, Some(5), false));
     assert!(vetoed(Cause::Stalled, Some(6), false));
-    assert!(!vetoed(Cause::Stranded, Some(4), false), "the primary that is heard is the one to be renewed");
+    assert!(!vetoed(Cause::Stranded, Some(4), false), "the primary in contact is the one to be renewed");
     assert!(vetoed(Cause::Stranded, Some(5), false));
 }
--- a/crates/core/tests/scheduler.rs
+++ b/crates/core/tests/scheduler.rs
@@ -134,9 +134,10 @@
 
 /// An instance that overestimates the cost of its statements gets as many permits as others.
 ///
-/// Guards against starvation by the instances' own estimates: an instance that had few statements served, and those from
-/// a long queue, estimated up to ten times the cost that others did (20 to 104 ms against 4 to 25 ms). The shorter work
-/// goes first, and rejected statements are never measured, so the estimates didn't recover.
+/// Guards against starvation by the instances' own estimates. An instance that had few statements served, all after a long
+/// wait, overestimates their cost: instances with 1 to 3 served statements estimated 20 to 104 ms, those with 380 to 858
+/// estimated 4 to 25 ms. Shorter work goes first and rejected statements are never measured, so the estimate doesn't
+/// recover.
 #[test]
 fn the_estimate_of_an_instance_does_not_change_its_share_of_permits() {
     let mut scheduler = Scheduler::default();
