--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -24,16 +24,16 @@
 //!
 //! | module | purpose |
 //! | --- | --- |
-//! | [`classify`] | classification of statements |
-//! | [`route`] | selection of the server for a read |
-//! | [`balance`] | load balancing by the current cost of each server |
+//! | [`classify`] | classification of SQL statements |
+//! | [`route`] | routing of reads to servers |
+//! | [`balance`] | load balancing: the cost of a server at present |
 //! | [`placement`] | home instances and their shares of connections |
-//! | [`intervals`] | how often instances call the store |
-//! | [`capacity`] | capacity of an instance |
-//! | [`admission`] | queues, fairness and learned limits |
-//! | [`budget`] | time budget of a statement before it is sent to a server |
+//! | [`intervals`] | intervals of the calls to the store |
+//! | [`capacity`] | capacity of an instance relative to others |
+//! | [`admission`] | admission queues and adaptive concurrency limits |
+//! | [`budget`] | time budget of a statement for its waits |
 //! | [`quota`] | usage limits of organisations across all instances |
-//! | [`scheduler`] | who runs next at a server that has too much to do |
+//! | [`scheduler`] | scheduler of the statements at an overloaded server |
 //! | [`retry`] | retry budgets and backoff |
 //! | [`retry_after`] | retry times of refused callers |
 //! | [`member`] | gossip membership: probes, suspicion, incarnations |
