--- a/crates/engine/src/count.rs
+++ b/crates/engine/src/count.rs
@@ -9,143 +9,145 @@
     strum::{Display, EnumIter, IntoStaticStr},
 };
 
-/// What is counted; the metric's name is `pondtrack_engine_` with the name below and `_total`.
+/// Counters of the engine. The metric of a counter is named `pondtrack_engine_{name}_total`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Count {
     /// Sessions opened.
     Sessions,
-    /// Statements that servers ran for callers.
+    /// Statements run by servers for callers.
     Statements,
     /// Reads answered by a replica.
     ReplicaReads,
     /// Reads answered by the primary.
     PrimaryReads,
-    /// Statements tried again.
+    /// Retries of statements.
     Retries,
-    /// Reads sent to a second server as the first was slow.
+    /// Hedged reads: reads sent to a second server because the first was slow.
     Hedges,
-    /// Statements that a server refused for its load.
+    /// Statements rejected by a server because of overload.
     ServerBusy,
-    /// Statements that a server refused as its log lacked their position.
+    /// Statements rejected by a server whose log had not reached the required position.
     ServerLagging,
     /// Statements answered as not run.
     NotRun,
-    /// Statements answered as unknown.
+    /// Statements answered with an unknown outcome.
     Unknown,
-    /// Operations refused as their organisation had used its quota.
+    /// Operations rejected because their organisation exceeded its quota.
     OverLimit,
-    /// Those of them for which there were tokens, kept for others.
+    /// Operations among [`Count::OverLimit`] for which tokens existed, reserved for other operations.
     Reserved,
-    /// Those of them that were told that there is no room in their time.
+    /// Operations among [`Count::OverLimit`] that no quota refill could serve before their deadline.
     TooLate,
-    /// Operations refused until a moment that a limiter told before, without asking it again.
+    /// Operations rejected without a request to the limiter, until the retry time of its previous refusal.
     #[strum(serialize = "told_before")]
     RefusedByHint,
-    /// Tokens passed on, as whoever had claimed them was gone.
+    /// Tokens reassigned because their claimant was gone.
     PassedOn,
-    /// Messages of other instances that lend their shares of limits.
+    /// Loans of quota shares received from other instances.
     Lent,
-    /// Limiters that couldn't be reached, left, or did not answer a loan in time.
+    /// Limiters that were unreachable, left, or did not answer a loan in time.
     LimiterLost,
-    /// Turns refused, as a server has too much to do to answer in time.
+    /// Permits refused because the server was too overloaded to answer before the deadline.
     #[strum(serialize = "turns_refused")]
     PermitsRefused,
-    /// Turns handed out to kinds of work that the order leaves out.
+    /// Permits issued by the guaranteed minimum to kinds of work that the scheduling order passes over.
     #[strum(serialize = "turns_lifted")]
     PermitsLifted,
-    /// Callers refused for their key.
+    /// Callers rejected because of their key.
     Denied,
     /// Connections to servers opened.
     Opened,
-    /// Connections that servers refused for their limit.
+    /// Connections rejected by servers because of their connection limit.
     Refused,
-    /// Questions and orders to servers.
+    /// Status queries and orders to servers.
     Orders,
-    /// Questions to other instances about a group's state.
+    /// Queries to other instances about a group's state.
     Inquiries,
     /// Calls of the store.
     StoreCalls,
     /// Calls of the store without a result.
     StoreFailures,
-    /// Returns of the store from an older copy.
+    /// Restores of the store from an older copy.
     StoreReturns,
     /// Promotions ordered.
     Promotions,
     /// Fetches of the configuration, the directory or the members from other instances.
     Fetches,
-    /// Those of them without a result.
+    /// Fetches without a result.
     FetchesFailed,
-    /// Bytes of these collections sent to other instances.
+    /// Bytes of the configuration, the directory and the members sent to other instances.
     SpreadBytes,
-    /// Servers that started again under their id.
+    /// Servers restarted under the same id.
     Restarts,
-    /// Objects of the store that couldn't be read.
+    /// Undecodable objects in the store.
     Unreadable,
-    /// Changes of primary after which acknowledged writes may be lost: a replica came back with nothing and the primary
-    /// was lost before another replica had all.
+    /// Failovers after which acknowledged writes may be lost: a replica came back with an empty log, and the
+    /// primary was lost before another replica had every entry.
     Losses,
-    /// Statements refused as their group's state was not known by the end of their budget.
+    /// Statements rejected because the group's state was unknown at the deadline.
     #[strum(serialize = "held_evidence")]
     NoEvidence,
-    /// The same for a primary.
+    /// Statements rejected because no primary was known at the deadline.
     #[strum(serialize = "held_primary")]
     NoPrimary,
-    /// The same for a turn at a server.
+    /// Statements rejected because no permit for a server was issued by the deadline.
     #[strum(serialize = "held_turn")]
     NoPermit,
-    /// The same for a connection.
+    /// Statements rejected because no connection was free by the deadline.
     #[strum(serialize = "held_connection")]
     NoConnection,
-    /// Callers that left while their statement waited; it did not run.
+    /// Callers that disconnected while their statement waited; the statement was not run.
     #[strum(serialize = "left_waiting")]
     CallersLeft,
-    /// Questions of other instances that were cancelled before a server had anything of them.
+    /// Requests of other instances that were cancelled before anything was sent to a server.
     Cancelled,
-    /// Log lines that were left out.
+    /// Log lines dropped.
     LogsDropped,
 }
 
-/// The counters of an instance, sorted, each with its metric, and its histograms. Metrics are looked up once, as
-/// they are on the path of every statement.
+/// Counters and histograms of an instance. Counters are sorted and hold their metric, which is looked up only once
+/// because every statement updates counters.
 #[derive(Default)]
 pub struct Counters {
-    list: RefCell<Vec<(Count, u64, metrics::Counter)>>,
+    counts: RefCell<Vec<(Count, u64, metrics::Counter)>>,
     statements: OnceCell<Histogram>,
-    gate: OnceCell<Histogram>,
+    replication_waits: OnceCell<Histogram>,
 }
 
 impl Counters {
-    /// Adds one to a counter.
+    /// Increments a counter by one.
     pub fn increment(&self, what: Count) {
         self.add(what, 1);
     }
 
-    /// Adds to a counter.
+    /// Adds `n` to a counter.
     pub fn add(&self, what: Count, n: u64) {
-        let mut list = self.list.borrow_mut();
-        let at = list.binary_search_by_key(&what, |it| it.0).unwrap_or_else(|at| {
-            list.insert(at, (what, 0, metrics::counter!(format!("pondtrack_engine_{what}_total"))));
+        let mut counts = self.counts.borrow_mut();
+        let at = counts.binary_search_by_key(&what, |entry| entry.0).unwrap_or_else(|at| {
+            counts.insert(at, (what, 0, metrics::counter!(format!("pondtrack_engine_{what}_total"))));
             at
         });
-        list[at].1 += n;
-        list[at].2.increment(n);
+        counts[at].1 += n;
+        counts[at].2.increment(n);
     }
 
-    /// A counter's value.
+    /// Returns the value of a counter.
     pub fn get(&self, what: Count) -> u64 {
-        let list = self.list.borrow();
-        list.binary_search_by_key(&what, |it| it.0).map_or(0, |at| list[at].1)
+        let counts = self.counts.borrow();
+        counts.binary_search_by_key(&what, |entry| entry.0).map_or(0, |at| counts[at].1)
     }
 
-    /// Records how long a statement took, in seconds.
-    pub fn record_statement(&self, took: Duration) {
+    /// Records the latency of a statement, in seconds.
+    pub fn record_statement(&self, elapsed: Duration) {
         let histogram = || metrics::histogram!("pondtrack_engine_statement_seconds");
-        self.statements.get_or_init(histogram).record(took);
+        self.statements.get_or_init(histogram).record(elapsed);
     }
 
-    /// Records how long a commit waited for a replica, in seconds.
-    pub fn record_replication_wait(&self, took: Duration) {
-        self.gate.get_or_init(|| metrics::histogram!("pondtrack_engine_gate_wait_seconds")).record(took);
+    /// Records the time that a commit waited for replication, in seconds.
+    pub fn record_replication_wait(&self, elapsed: Duration) {
+        self.replication_waits
+            .get_or_init(|| metrics::histogram!("pondtrack_engine_gate_wait_seconds"))
+            .record(elapsed);
     }
 }
--- a/crates/engine/src/distribution.rs
+++ b/crates/engine/src/distribution.rs
@@ -1,8 +1,9 @@
-//! How the configuration and the directory reach instances that don't watch the store.
+//! Distribution of the configuration and the directory to instances that don't watch the store.
 //!
-//! One instance of each availability zone watches the store, however many there are. They tell all others regularly which revisions
-//! they know; whoever knows an older one fetches the newer from them. One that is refused by the store says
-//! so, and the next in its zone watches as well. An instance that hears of nobody does so itself.
+//! One instance of each availability zone watches the store, independent of the size of the fleet. The watchers
+//! regularly announce their versions to all other instances, and an instance with an older version fetches the
+//! newer one from them. A watcher whose calls are refused by the store announces that, and the next instance of
+//! its zone starts to watch. An instance that receives no heartbeat watches the store itself.
 
 use {
     crate::{
@@ -27,198 +28,201 @@
     },
 };
 
-/// Between two beats of an instance that watches, as a share of the time in which a change has to be in force:
+/// Interval between heartbeats of a watcher, as a fraction of the time within which a change has to be in effect:
 /// 800 of 3,000 ms.
-const BEAT_SHARE: f64 = 0.267;
-/// Without a beat of one that can watch for this share of the same time an instance watches itself: two beats,
-/// and room for a call of the store.
-const LOST_SHARE: f64 = 0.6;
-/// What an instance of another availability zone tells is fetched from there only after this pause, where one of the own
-/// zone tells as well: those that watch hear of a change within a few milliseconds of each other, and bytes that cross
-/// zones cost more.
-const ZONE_PAUSE: Duration = Duration::from_millis(100);
-/// Between two rounds of questions to the seeds; a store that is well answers sooner.
-const JOIN_PAUSE: Duration = Duration::from_millis(400);
-/// Between two questions which instances are up: those that watch learn of a change within about as long.
-const COUNT_PAUSE: Duration = Duration::from_millis(3_000);
-/// After the first start of all, instances know of each other within this long: by their second look.
-const GATHER: Duration = Duration::from_millis(1_600);
-/// Pause between two rounds of beats that are caused by changes.
-const ROUND_PAUSE: Duration = Duration::from_millis(20);
-
-/// How the configuration and the directory come here.
+const HEARTBEAT_FRACTION: f64 = 0.267;
+/// Heartbeat timeout, as a fraction of the same time: an instance that receives no heartbeat of a working watcher
+/// for this long watches the store itself. Covers two heartbeats and a call of the store.
+const TIMEOUT_FRACTION: f64 = 0.6;
+/// Delay before an update is fetched from a watcher of another availability zone while the own zone has a working
+/// watcher. Watchers receive a change within a few milliseconds of one another, and cross-zone traffic costs more.
+const CROSS_ZONE_DELAY: Duration = Duration::from_millis(100);
+/// Interval between polling rounds of the seeds. A healthy store answers sooner.
+const SEED_POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// Minimum interval between fetches of the member list. Watchers detect a change within about the same time.
+const MEMBERS_INTERVAL: Duration = Duration::from_millis(3_000);
+/// Bootstrap time of a new fleet, within which instances discover one another: by their second poll of the
+/// instance entries.
+const BOOTSTRAP_TIME: Duration = Duration::from_millis(1_600);
+/// Minimum interval between rounds of heartbeats caused by changes.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(20);
+
+/// State of the distribution on this instance.
 #[derive(Default)]
 pub struct Distribution {
-    /// Woken when there is something new to tell.
+    /// Notified when there is a new version to announce.
     pub changed: Notify,
-    /// When an instance that watches was last heard.
-    heard: Cell<Micros>,
-    /// When one of the own availability zone was last heard.
-    heard_near: Cell<Micros>,
-    /// Whether the last calls for the configuration and for the directory had a result.
-    watched: Cell<(bool, bool)>,
+    /// Time of the last heartbeat of a working watcher.
+    last_heartbeat: Cell<Micros>,
+    /// Time of the last heartbeat of a working watcher in the own availability zone.
+    last_local_heartbeat: Cell<Micros>,
+    /// Success of the last call of the store, for the configuration and for the directory.
+    call_results: Cell<(bool, bool)>,
     fetching: Cell<bool>,
-    /// What was told last while something was fetched, and by whom.
-    missed: RefCell<Option<(Rc<Peer>, Heartbeat)>>,
-    /// When it was last asked which instances are up.
-    counted: Cell<Micros>,
+    /// Best heartbeat received during a fetch, with its sender.
+    pending: RefCell<Option<(Rc<Peer>, Heartbeat)>>,
+    /// Time of the last fetch of the member list.
+    members_checked: Cell<Micros>,
 }
 
 impl Distribution {
-    /// Whether this instance is one of those that watch the store for all.
+    /// Returns true if this instance is a watcher: the preferred instance of its zone among those whose calls of
+    /// the store succeed.
     pub fn is_watcher(&self, inst: &Instance) -> bool {
         let Some(peers) = inst.peers() else { return true };
         let own = &inst.settings;
         let now = inst.now();
-        let counts = |it: &&Rc<Peer>| it.zone == own.zone && !it.is_blind(now);
-        let others = peers.iter().filter(counts).map(|it| inst.candidate(it));
+        let is_eligible = |p: &&Rc<Peer>| p.zone == own.zone && !p.is_blind(now);
+        let others = peers.iter().filter(is_eligible).map(|p| inst.candidate(p));
         let zone: Vec<Candidate<'_>> = others.chain([inst.own_candidate()]).collect();
         place::best("watch", &zone) == Some(&own.name)
     }
 
-    /// Whether this instance has to watch the store. One that has just started waits for those that do: all at once would
-    /// each be told of every server that comes up with them.
+    /// Returns true if this instance has to watch the store. An instance that has just started waits for the
+    /// watchers: if all instances of a new fleet watched, each would receive a change for every server that starts
+    /// with them.
     pub fn must_watch(&self, inst: &Instance) -> bool {
-        let silent = inst.now().saturating_sub(self.heard.get());
-        let lost = inst.bounds.get().apply.mul_f64(LOST_SHARE);
-        !self.is_bootstrapping(inst) && (silent >= micros(lost) || self.is_watcher(inst))
+        let elapsed = inst.now().saturating_sub(self.last_heartbeat.get());
+        let time_limit = inst.bounds.get().apply.mul_f64(TIMEOUT_FRACTION);
+        !self.is_bootstrapping(inst) && (elapsed >= micros(time_limit) || self.is_watcher(inst))
     }
 
-    /// Whether all instances have only just started for the first time, and none knows yet how many they are: each would
-    /// take itself for the one that watches, and for the one that may give orders.
+    /// Returns true during the first start of a fleet, while no instance knows how many others exist. Each
+    /// instance would consider itself the watcher, and the one to give orders.
     pub fn is_bootstrapping(&self, inst: &Instance) -> bool {
-        inst.settings.first_start && inst.now() < micros(GATHER)
+        inst.settings.first_start && inst.now() < micros(BOOTSTRAP_TIME)
     }
 
-    /// A call for a collection had, or had no, result.
+    /// Records the success of a call of the store for a collection.
     pub fn record_call(&self, what: Collection, ok: bool) {
-        let (desired, servers) = self.watched.get();
-        self.watched.set(match what {
+        let (config, servers) = self.call_results.get();
+        self.call_results.set(match what {
             Collection::Config => (ok, servers),
-            _ => (desired, ok),
+            _ => (config, ok),
         });
     }
 
-    /// Whether an instance of the own availability zone tells what it watches.
-    fn hears_near(&self, inst: &Instance) -> bool {
-        let silent = inst.now().saturating_sub(self.heard_near.get());
-        self.heard_near.get() > 0 && silent < micros(inst.bounds.get().apply.mul_f64(LOST_SHARE))
+    /// Returns true if the own availability zone has a working watcher.
+    fn has_local_watcher(&self, inst: &Instance) -> bool {
+        let elapsed = inst.now().saturating_sub(self.last_local_heartbeat.get());
+        self.last_local_heartbeat.get() > 0
+            && elapsed < micros(inst.bounds.get().apply.mul_f64(TIMEOUT_FRACTION))
     }
 
-    /// Keeps what was told while something is fetched: a fetch may take longer than the time between two beats. What an
-    /// instance of the own zone tells goes before what others tell, unless that is newer.
-    fn look_later(&self, inst: &Instance, peer: Rc<Peer>, beat: Heartbeat) {
-        let mut missed = self.missed.borrow_mut();
-        let rank =
-            |peer: &Peer, beat: &Heartbeat| (beat.version, beat.directory, peer.zone == inst.settings.zone);
-        if missed.as_ref().is_none_or(|old| rank(&old.0, &old.1) <= rank(&peer, &beat)) {
-            *missed = Some((peer, beat));
+    /// Keeps a heartbeat received during a fetch, since a fetch may take longer than the heartbeat interval. A
+    /// newer heartbeat replaces an older one, and at the same version the own zone takes precedence.
+    fn defer(&self, inst: &Instance, peer: Rc<Peer>, heartbeat: Heartbeat) {
+        let mut pending = self.pending.borrow_mut();
+        let rank = |peer: &Peer, h: &Heartbeat| (h.version, h.directory, peer.zone == inst.settings.zone);
+        if pending.as_ref().is_none_or(|old| rank(&old.0, &old.1) <= rank(&peer, &heartbeat)) {
+            *pending = Some((peer, heartbeat));
         }
     }
 
-    fn newer_desired(&self, inst: &Instance, beat: &Heartbeat) -> bool {
-        inst.config().is_none_or(|it| it.version < beat.version)
+    fn has_newer_config(&self, inst: &Instance, heartbeat: &Heartbeat) -> bool {
+        inst.config().is_none_or(|c| c.version < heartbeat.version)
     }
 
-    fn newer_directory(&self, inst: &Instance, beat: &Heartbeat) -> bool {
-        inst.revision(Collection::Servers).is_none_or(|it| it < beat.directory)
+    fn has_newer_directory(&self, inst: &Instance, heartbeat: &Heartbeat) -> bool {
+        inst.revision(Collection::Servers).is_none_or(|r| r < heartbeat.directory)
     }
 
-    fn tells_newer(&self, inst: &Instance, beat: &Heartbeat) -> bool {
-        self.newer_desired(inst, beat) || self.newer_directory(inst, beat)
+    fn has_newer(&self, inst: &Instance, heartbeat: &Heartbeat) -> bool {
+        self.has_newer_config(inst, heartbeat) || self.has_newer_directory(inst, heartbeat)
     }
 
-    /// Whether another instance that watches the store knows other instances than this one does. Two that watch
-    /// may differ for a while, as they read the entries at different times.
-    fn wants_members(&self, inst: &Instance, beat: &Heartbeat) -> bool {
+    /// Returns true if the member list should be fetched because a working watcher has a different one. Watchers
+    /// never fetch it: their lists may differ for a while, as they read the entries at different times.
+    fn should_fetch_members(&self, inst: &Instance, heartbeat: &Heartbeat) -> bool {
         let now = inst.now();
-        let due = now.saturating_sub(self.counted.get()) >= micros(COUNT_PAUSE);
-        let differs = || inst.members().is_some_and(|it| members_digest(&it) != beat.members);
-        let wants = beat.watching && due && !self.must_watch(inst) && differs();
-        if wants {
-            self.counted.set(now);
+        let due = now.saturating_sub(self.members_checked.get()) >= micros(MEMBERS_INTERVAL);
+        let differs = || inst.members().is_some_and(|m| members_digest(&m) != heartbeat.members);
+        let fetch_members = heartbeat.watching && due && !self.must_watch(inst) && differs();
+        if fetch_members {
+            self.members_checked.set(now);
         }
-        wants
+        fetch_members
     }
 
-    fn beat(&self, inst: &Instance) -> Option<Heartbeat> {
+    fn heartbeat(&self, inst: &Instance) -> Option<Heartbeat> {
         let (desired, directory) = (inst.revision(Collection::Config)?, inst.revision(Collection::Servers)?);
         let version = inst.config()?.version;
-        let watching = self.watched.get() == (true, true);
+        let watching = self.call_results.get() == (true, true);
         let from = inst.settings.name.clone();
         let members = members_digest(&inst.members()?);
-        let tells = self.is_watcher(inst) && inst.leaving().is_none();
-        tells.then_some(Heartbeat { from, version, desired, directory, members, watching })
+        let announces = self.is_watcher(inst) && inst.leaving().is_none();
+        announces.then_some(Heartbeat { from, version, desired, directory, members, watching })
     }
 }
 
-/// Tells all others what is known here while this instance watches, for good.
+/// Announces the versions of this instance to all others while it is a watcher; never returns.
 pub async fn run(inst: Rc<Instance>) {
     loop {
-        // New or not, something is told at the next beat.
-        let beat = inst.bounds.get().apply.mul_f64(BEAT_SHARE);
-        let _ = timeout(beat, inst.distribution.changed.notified()).await;
-        let (Some(beat), Some(peers)) = (inst.distribution.beat(&inst), inst.peers()) else {
+        // Sent on each change, and at the latest after the heartbeat interval.
+        let interval = inst.bounds.get().apply.mul_f64(HEARTBEAT_FRACTION);
+        let _ = timeout(interval, inst.distribution.changed.notified()).await;
+        let (Some(heartbeat), Some(peers)) = (inst.distribution.heartbeat(&inst), inst.peers()) else {
             continue;
         };
         for peer in peers {
-            tokio::task::spawn_local(send(inst.clone(), peer, beat.clone()));
+            tokio::task::spawn_local(send(inst.clone(), peer, heartbeat.clone()));
         }
-        sleep(ROUND_PAUSE).await;
+        sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
-async fn send(inst: Rc<Instance>, peer: Rc<Peer>, beat: Heartbeat) {
+async fn send(inst: Rc<Instance>, peer: Rc<Peer>, heartbeat: Heartbeat) {
     if !peer.is_usable(inst.now()) {
         return;
     }
     if let Some(link) = peer.link(&inst).await {
-        link.tell_again(Message::Heartbeat(beat));
+        link.tell_again(Message::Heartbeat(heartbeat));
     }
 }
 
-/// An instance that watches the store tells what it knows.
-pub async fn on_heartbeat(inst: Rc<Instance>, beat: Heartbeat) {
-    let spread = &inst.distribution;
+/// Handles a heartbeat of a watcher, and fetches the collections of which it has a newer version.
+pub async fn on_heartbeat(inst: Rc<Instance>, heartbeat: Heartbeat) {
+    let distribution = &inst.distribution;
     let now = inst.now();
-    inst.hear_era(beat.desired.max(beat.directory));
-    if beat.watching {
-        spread.heard.set(now);
-    }
-    let Some(peer) = inst.peer(&beat.from) else { return };
-    peer.set_watching(beat.watching, now);
-    let is_near = peer.zone == inst.settings.zone;
-    if is_near && beat.watching {
-        spread.heard_near.set(now);
-    }
-    if !is_near && spread.hears_near(&inst) && spread.tells_newer(&inst, &beat) {
-        sleep(ZONE_PAUSE).await;
-    }
-    if spread.fetching.replace(true) {
-        return spread.look_later(&inst, peer, beat);
-    }
-    let mut told = Some((peer, beat));
-    while let Some((peer, beat)) = told {
-        let wants = [
-            spread.newer_desired(&inst, &beat).then_some(Collection::Config),
-            spread.newer_directory(&inst, &beat).then_some(Collection::Servers),
-            spread.wants_members(&inst, &beat).then_some(Collection::Instances),
+    inst.hear_era(heartbeat.desired.max(heartbeat.directory));
+    if heartbeat.watching {
+        distribution.last_heartbeat.set(now);
+    }
+    let Some(peer) = inst.peer(&heartbeat.from) else { return };
+    peer.set_watching(heartbeat.watching, now);
+    let is_local = peer.zone == inst.settings.zone;
+    if is_local && heartbeat.watching {
+        distribution.last_local_heartbeat.set(now);
+    }
+    if !is_local && distribution.has_local_watcher(&inst) && distribution.has_newer(&inst, &heartbeat) {
+        sleep(CROSS_ZONE_DELAY).await;
+    }
+    if distribution.fetching.replace(true) {
+        return distribution.defer(&inst, peer, heartbeat);
+    }
+    let mut next = Some((peer, heartbeat));
+    while let Some((peer, heartbeat)) = next {
+        let collections = [
+            distribution.has_newer_config(&inst, &heartbeat).then_some(Collection::Config),
+            distribution.has_newer_directory(&inst, &heartbeat).then_some(Collection::Servers),
+            distribution.should_fetch_members(&inst, &heartbeat).then_some(Collection::Instances),
         ];
-        for what in wants.into_iter().flatten() {
+        for what in collections.into_iter().flatten() {
             fetch(&inst, &peer, what).await;
         }
-        told = spread.missed.take();
+        next = distribution.pending.take();
     }
-    spread.fetching.set(false);
+    distribution.fetching.set(false);
 }
 
-/// Learns from other instances what the store doesn't tell at the start, until this instance is ready.
+/// Fetches the configuration and the directory from seeds, in case the store is unavailable, until this instance
+/// is ready.
 pub async fn join(inst: Rc<Instance>, seeds: Vec<SocketAddrV4>) {
-    let others = seeds.into_iter().filter(|it| *it != inst.settings.peer_addr);
+    let others = seeds.into_iter().filter(|addr| *addr != inst.settings.peer_addr);
     let peers: Vec<Rc<Peer>> =
-        others.map(|it| Rc::new(Peer::new(Name::from(it.to_string()), Name::new(), it))).collect();
+        others.map(|addr| Rc::new(Peer::new(Name::from(addr.to_string()), Name::new(), addr))).collect();
     loop {
-        sleep(JOIN_PAUSE).await;
+        sleep(SEED_POLL_INTERVAL).await;
         for peer in &peers {
             if inst.is_ready() {
                 return;
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Documents fetched from other instances, part by part.
+//! Fetching of collection updates from other instances, in chunks.
 
 use {
     crate::{
@@ -14,91 +14,93 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Time for a part, with the wait for a slot of the instance that hands it out. There is none for a whole document: it may
-/// take as long as its parts come.
-const PART_LIMIT: Duration = Duration::from_millis(800);
-/// Pause before the first instance is asked again, shortest and its spread in milliseconds. The one that it named is not
-/// known here, is gone, or still takes its last part; asked at once it would name the same.
-const PAUSE: (u64, u64) = (50, 50);
-/// The largest document, in bytes: what the store holds in one object is smaller, and takes less room here than there.
-const DOCUMENT_BYTES: u32 = 16 << 20;
+/// Timeout for one chunk, including the wait for an upload slot. The whole update has no timeout: it may take as
+/// long as chunks arrive.
+const CHUNK_TIMEOUT: Duration = Duration::from_millis(800);
+/// Minimum backoff and its jitter before the first instance is asked again, in milliseconds. The instance to which
+/// it redirected is unknown here, is gone, or is still receiving the last chunk; an immediate retry would be
+/// redirected to the same instance.
+const BACKOFF: (u64, u64) = (50, 50);
+/// Maximum size of an update, in bytes. The store limits an object to less, and objects are smaller here than in
+/// the store.
+const MAX_UPDATE_BYTES: u32 = 16 << 20;
 
-/// Why a document was not fetched.
+/// Reasons for a failed fetch.
 #[derive(Debug, Snafu)]
 enum FetchError {
-    /// A part didn't come in time.
+    /// A chunk did not arrive in time.
     #[snafu(display("no answer in time"))]
-    Late,
-    /// The other instance has nothing to hand out, or its link broke.
-    #[snafu(display("{told:?}"))]
+    Timeout,
+    /// The other instance has nothing newer, or the link to it broke.
+    #[snafu(display("{response:?}"))]
     Refused {
-        /// What it said.
-        told: Response,
+        /// Response of the other instance.
+        response: Response,
     },
-    /// It handed out something else than was asked for.
-    #[snafu(display("not the part that was asked for"))]
+    /// The other instance sent a different chunk than requested.
+    #[snafu(display("not the requested chunk"))]
     OutOfOrder,
-    /// The parts don't make a document.
-    #[snafu(display("not a document: {source}"))]
-    Unreadable {
-        /// Why not.
+    /// The chunks don't decode to an update.
+    #[snafu(display("not an update: {source}"))]
+    Undecodable {
+        /// Decoding error.
         source: postcard::Error,
     },
-    /// It doesn't fit what is known here.
+    /// The update does not apply to the current collection.
     #[snafu(display("{source}"), context(false))]
-    Unfit {
-        /// Why not.
+    Rejected {
+        /// Reason for the rejection.
         source: UpdateError,
     },
 }
 
-/// How far a fetch from one instance came.
-enum Step {
-    /// What it knew is known here.
+/// Outcome of a fetch from one instance.
+enum FetchOutcome {
+    /// The update was applied.
     Done,
-    /// Another instance hands it out as well; none if none is known that does.
-    Elsewhere(Option<Rc<Peer>>),
+    /// Another instance also serves the update; none if no such instance is known.
+    Redirect(Option<Rc<Peer>>),
 }
 
-/// Fetches a collection from an instance, or from others that it names, and takes it in. Whether it has come is seen from
-/// what is known here; what failed is fetched again when the next beat tells of it.
+/// Fetches a collection from an instance, or from instances to which it redirects, and applies the update. The
+/// result is visible in the collection; a failed fetch is retried on the next heartbeat.
 pub async fn fetch(inst: &Rc<Instance>, source: &Rc<Peer>, what: Collection) {
-    let begun = inst.now();
-    let give_up = micros(inst.bounds.get().apply);
+    let started = inst.now();
+    let time_limit = micros(inst.bounds.get().apply);
     let mut peer = source.clone();
     let mut whole = false;
-    while inst.now().saturating_sub(begun) < give_up {
+    while inst.now().saturating_sub(started) < time_limit {
         inst.counters.increment(Count::Fetches);
-        let since = if whole { 0 } else { Update::known(inst, what) };
-        let step = fetch_from(inst, &peer, what, since).await;
-        let took = (inst.now() - begun) / 1_000;
-        match step {
-            Ok(Step::Done) => {
+        let since = if whole { 0 } else { Update::base_version(inst, what) };
+        let outcome = fetch_from(inst, &peer, what, since).await;
+        let elapsed_ms = (inst.now() - started) / 1_000;
+        match outcome {
+            Ok(FetchOutcome::Done) => {
                 if inst.may_log() {
-                    log::info!(peer = peer.name.as_str(), collection:% = what, since, took_ms = took; "fetched");
+                    log::info!(peer = peer.name.as_str(), collection:% = what, since, took_ms = elapsed_ms; "fetched");
                 }
                 return;
             }
-            Ok(Step::Elsewhere(Some(it))) => {
-                peer = it;
+            Ok(FetchOutcome::Redirect(Some(other))) => {
+                peer = other;
                 continue;
             }
-            Ok(Step::Elsewhere(None)) => {}
+            Ok(FetchOutcome::Redirect(None)) => {}
             Err(e) => {
                 inst.counters.increment(Count::FetchesFailed);
                 if inst.may_log() {
-                    log::info!(peer = peer.name.as_str(), collection:% = what, since, took_ms = took; "not fetched: {e}");
+                    log::info!(peer = peer.name.as_str(), collection:% = what, since, took_ms = elapsed_ms; "not fetched: {e}");
                 }
                 match e {
-                    FetchError::Unfit { source: UpdateError::Moved } => {}
-                    FetchError::Unfit { source: UpdateError::Differs } if !whole => whole = true,
+                    FetchError::Rejected { source: UpdateError::StaleBase } => {}
+                    FetchError::Rejected { source: UpdateError::DigestMismatch } if !whole => whole = true,
                     _ if peer.name == source.name => return,
                     _ => {}
                 }
             }
         }
         peer = source.clone();
-        sleep(Duration::from_millis(PAUSE.0 + inst.random(PAUSE.1))).await;
+        sleep(Duration::from_millis(BACKOFF.0 + inst.random(BACKOFF.1))).await;
     }
 }
 
@@ -107,34 +109,34 @@
     peer: &Peer,
     what: Collection,
     since: u64,
-) -> Result<Step, FetchError> {
+) -> Result<FetchOutcome, FetchError> {
     let mut bytes = Vec::new();
     let mut next = None;
     loop {
-        let ask = Request::Fetch(FetchRequest { what, from: inst.settings.name.clone(), since, next });
-        let told = timeout(PART_LIMIT, peer.ask(inst, ask)).await.map_err(|_| FetchError::Late)?;
-        let part = match told {
-            Response::Chunk(it) => it,
-            Response::Elsewhere(name) => return Ok(Step::Elsewhere(name.and_then(|it| inst.peer(&it)))),
-            told => return Err(FetchError::Refused { told }),
+        let request = Request::Fetch(FetchRequest { what, from: inst.settings.name.clone(), since, next });
+        let response =
+            timeout(CHUNK_TIMEOUT, peer.ask(inst, request)).await.map_err(|_| FetchError::Timeout)?;
+        let chunk = match response {
+            Response::Chunk(chunk) => chunk,
+            Response::Elsewhere(name) => return Ok(FetchOutcome::Redirect(name.and_then(|n| inst.peer(&n)))),
+            response => return Err(FetchError::Refused { response }),
         };
-        if !follows(&part, bytes.len(), next) {
+        if !is_next(&chunk, bytes.len(), next) {
             return Err(FetchError::OutOfOrder);
         }
-        bytes.extend_from_slice(&part.bytes);
-        if bytes.len() >= part.total as usize {
+        bytes.extend_from_slice(&chunk.bytes);
+        if bytes.len() >= chunk.total as usize {
             break;
         }
-        next = Some((part.at, bytes.len() as u32));
+        next = Some((chunk.at, bytes.len() as u32));
     }
-    let document: Update =
-        postcard::from_bytes(&bytes).map_err(|source| FetchError::Unreadable { source })?;
-    document.apply(inst)?;
-    Ok(Step::Done)
+    let update: Update = postcard::from_bytes(&bytes).map_err(|source| FetchError::Undecodable { source })?;
+    update.apply(inst)?;
+    Ok(FetchOutcome::Done)
 }
 
-/// Whether a part is the one after those that are here.
-fn follows(part: &Chunk, here: usize, next: Option<(u64, u32)>) -> bool {
-    let grows = !part.bytes.is_empty() && part.total <= DOCUMENT_BYTES;
-    grows && part.offset as usize == here && next.is_none_or(|it| it.0 == part.at)
+/// Returns true if a chunk directly follows the received bytes.
+fn is_next(chunk: &Chunk, received: usize, next: Option<(u64, u32)>) -> bool {
+    let has_valid_size = !chunk.bytes.is_empty() && chunk.total <= MAX_UPDATE_BYTES;
+    has_valid_size && chunk.offset as usize == received && next.is_none_or(|n| n.0 == chunk.at)
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,33 +1,33 @@
-//! Sessions, connections and failover over a neutral model of statements.
+//! Sessions, connections and failover over a model of statements that is independent of the wire protocol.
 //!
-//! A caller's statement flows from its [`session`] through a route to a [`group`] of servers, over a
-//! connection of a [`pool`], and back. What the wire, the store and the order to promote look like is the
-//! business of the [`ports`].
+//! A caller's statement flows from its [`session`] through a route to a [`group`] of servers, over a connection of a
+//! [`pool`], and the answer flows back. Implementations of the [`ports`] provide the wire protocol, the store and the
+//! promotion of servers.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
 //! | [`model`] | statements, answers, configuration |
 //! | [`organisation`] | organisations, their keys and quotas |
-//! | [`limit`] | operations within the quotas of organisations |
-//! | [`ports`] | what an edge brings |
+//! | [`limit`] | admission of operations within the quotas of organisations |
+//! | [`ports`] | traits for the wire protocol, the store and the promotion of servers |
 //! | [`settings`] | timeouts, limits and weights |
-//! | [`instance`] | what the parts of an instance share |
-//! | [`watcher`] | the configuration and the directory, kept up to date |
-//! | [`distribution`] | the same for instances that don't watch the store |
-//! | [`update`], [`upload`], [`fetch`] | what instances hand each other of them |
-//! | [`group`], [`upstream`] | a group and the evidence about it, its servers |
-//! | [`ask`] | questions and orders to servers |
-//! | [`conn`], [`pool`], [`turnstile`] | connections to servers, and turns at them |
-//! | [`dispatch`] | turns at a server that has too much to do, from one instance for all |
-//! | [`channel`] | a way to a server: a connection, or another instance |
-//! | [`message`], [`link`], [`peer`] | other instances and what is said between them |
-//! | [`relay`] | statements run for others |
-//! | [`session`], [`statement`], [`read`], [`write`](mod@write), [`txn`] | callers |
-//! | [`lease`], [`takeover`] | the right to give orders, and changes of primary |
-//! | [`leaders`] | the record of who led each group |
-//! | [`progress`] | how far a statement has come, for whoever waits for its answer |
-//! | [`unreadable`] | objects of the store that can't be read |
-//! | [`count`], [`report`] | counters and histograms, and a line that shows them |
+//! | [`instance`] | shared state of an instance |
+//! | [`watcher`] | synchronisation of the configuration and the server directory with the store |
+//! | [`distribution`] | distribution of the configuration and the directory to instances that don't watch the store |
+//! | [`update`], [`upload`], [`fetch`] | updates of the configuration and the directory, and their transfer between instances |
+//! | [`group`], [`upstream`] | a group with the evidence about its state, and its servers |
+//! | [`ask`] | status queries and orders to servers |
+//! | [`conn`], [`pool`], [`turnstile`] | connections to servers, and permits to use them |
+//! | [`dispatch`] | permits for an overloaded server, issued by one instance for all |
+//! | [`channel`] | access to a server by a direct connection or through another instance |
+//! | [`message`], [`link`], [`peer`] | messages between instances, links and peers |
+//! | [`relay`] | statements run on behalf of other instances |
+//! | [`session`], [`statement`], [`read`], [`write`](mod@write), [`txn`] | sessions of callers and their statements |
+//! | [`lease`], [`takeover`] | the lease for giving orders, and failover |
+//! | [`leaders`] | the last known leader of each group |
+//! | [`progress`] | progress of a statement |
+//! | [`unreadable`] | undecodable objects in the store |
+//! | [`count`], [`report`] | counters and histograms, and their periodic log line |
 
 pub mod ask;
 pub mod channel;
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,8 +1,8 @@
 //! Messages between instances.
 //!
-//! An instance that can't reach a server itself, or has no share of its connections, has another one run
-//! its statements there. A link carries a length and the message in `postcard`; answers are matched to
-//! questions by an id.
+//! An instance that can't reach a server, or has no share of its connections, forwards statements to another
+//! instance that runs them. A message on a link is a length prefix and the `postcard` encoding of a [`Message`].
+//! Responses are matched to requests by id.
 
 use {
     crate::{
@@ -23,328 +23,332 @@
     std::net::SocketAddrV4,
 };
 
-/// A message between instances.
+/// Message between two instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Something is wanted.
+    /// Request.
     #[serde(rename = "Ask")]
     Request {
-        /// Matches the answer to it.
+        /// Request id, repeated in the response.
         id: u64,
-        /// What is wanted.
+        /// Content of the request.
         #[serde(rename = "ask")]
         request: Request,
     },
-    /// The answer.
+    /// Response to a request.
     #[serde(rename = "Told")]
     Response {
-        /// The question's id.
+        /// Id of the request.
         id: u64,
-        /// The answer.
+        /// Content of the response.
         #[serde(rename = "told")]
         response: Response,
     },
-    /// A transaction was given up by its owner.
+    /// The owner abandoned a transaction; it is rolled back.
     Drop {
-        /// The stream that it ran on.
+        /// Stream of the transaction.
         stream: u64,
     },
-    /// A turn at a server isn't needed any longer.
+    /// A permit is no longer needed.
     #[serde(rename = "EndTurn")]
     ReleasePermit {
-        /// The turn.
+        /// Id of the permit.
         #[serde(rename = "turn")]
         permit: u64,
     },
-    /// Turns at a server come from the instance that says so, for all.
+    /// A server is overloaded, and the sender issues the permits of the server for all instances.
     #[serde(rename = "Crowded")]
     Overloaded {
-        /// The server.
+        /// Id of the server.
         server: Name,
     },
-    /// What an instance that watches the store knows.
+    /// Versions known to an instance that watches the store.
     #[serde(rename = "Beat")]
     Heartbeat(Heartbeat),
-    /// Nobody waits for the answer to a question any longer: what it asked for needn't begin.
+    /// Cancels a request whose caller no longer waits: the request need not be started.
     Cancel {
-        /// The question's id.
+        /// Id of the request.
         id: u64,
     },
-    /// Is anybody there?
+    /// Liveness probe of a link.
     Ping,
-    /// The answer to a ping.
+    /// Answer to a liveness probe.
     Pong,
 }
 
-/// What an instance that watches the store knows.
+/// Periodic announcement of the versions known to an instance that watches the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The instance.
+    /// Name of the sender.
     pub from: Name,
-    /// The configuration's version.
+    /// Version of the configuration.
     pub version: u64,
-    /// The store's revision of the configuration.
+    /// Store revision of the configuration.
     pub desired: Revision,
-    /// The store's revision of the directory of servers.
+    /// Store revision of the server directory.
     pub directory: Revision,
-    /// Tells apart which instances are up, as it knows them.
+    /// Digest of the set of live instances, as known to the sender.
     pub members: u64,
-    /// Whether its calls of the store have results.
+    /// Set if the sender's last calls of the store succeeded.
     pub watching: bool,
 }
 
-/// An instance, as others are told of it.
+/// Instance, as described to other instances.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the instance.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Name,
-    /// Where it answers.
+    /// Address on which the instance accepts links.
     pub addr: SocketAddrV4,
-    /// What it can carry, where it states that.
+    /// Capacity of the instance, if stated.
     pub capacity: Option<Capacity>,
 }
 
-/// What an instance wants of another.
+/// Request to another instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// To run a statement at a server.
+    /// Runs a statement on a server.
     Run(Box<RunRequest>),
-    /// A turn at a server that this instance reaches itself.
+    /// Requests a permit for a server that the sender reaches itself.
     #[serde(rename = "Turn")]
     Permit(PermitRequest),
-    /// To hand out what it knows of a collection.
+    /// Requests the next chunk of an update of a collection.
     Fetch(FetchRequest),
-    /// To use the asking one's shares of limits, or to give them back.
+    /// Lends the sender's shares of quotas, or takes them back.
     Lend(QuotaLoan),
-    /// Operations within the limits of organisations.
+    /// Requests operations within the quotas of organisations.
     Claim(Vec<Claim>),
-    /// To tell what it knows of a group.
+    /// Requests the status of a group.
     State {
-        /// The group.
+        /// Name of the group.
         group: Name,
-        /// Servers whose accounts are to be renewed first where they are older, if the other one reaches them.
+        /// Servers to query first if their last status is too old and the receiver reaches them.
         wanted: Vec<StatusQuery>,
     },
-    /// To give a server an order that it answers with its account of itself.
+    /// Sends an order that a server answers with its status.
     Order {
-        /// The server.
+        /// Target server.
         server: ServerProcess,
-        /// The order.
+        /// Order for the server.
         order: Order,
     },
 }
 
-/// Shares of limits that an instance lends to another, and to no one else.
+/// Shares of quotas that an instance lends to exactly one other instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaLoan {
-    /// Who lends them.
+    /// Name of the lender.
     pub from: Name,
-    /// Rises with each message.
+    /// Sequence number, which increases with each message.
     pub seq: u64,
-    /// The slots whose shares are lent.
+    /// Slots whose shares are lent.
     pub slots: Slots,
-    /// The share of each limit.
+    /// Share of each quota.
     pub share: f64,
-    /// The moment that the other one told last, from which the term counts.
+    /// Last timestamp received from the borrower, from which the duration of the loan counts.
     pub since: Option<Stamp>,
-    /// The term, in microseconds.
+    /// Duration of the loan, in microseconds.
     pub term: u64,
 }
 
-/// Operations of an organisation that wait to run.
+/// Waiting operations of an organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The organisation.
+    /// Name of the organisation.
     pub organisation: Name,
-    /// How many there are, and how urgent they are.
+    /// Number and urgency of the operations.
     pub demand: Demand,
 }
 
-/// A server whose account of itself is wanted.
+/// Query for the status of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusQuery {
-    /// The server.
+    /// Server to query.
     pub server: ServerProcess,
-    /// How long before this message it may have been asked for it at most, in microseconds.
+    /// Maximum age of the status at the time of this message, in microseconds.
     pub age: Micros,
 }
 
-/// What an instance knows of a server's account of itself.
+/// Status of a server, as last reported to an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The server.
+    /// Server that reported the status.
     pub server: ServerProcess,
-    /// Its account.
+    /// Reported status.
     pub status: Status,
-    /// How long before the question for this came the server was asked, in microseconds; 0 if it was later.
+    /// Time from the query to the server until the arrival of the request for this report, in microseconds; 0 if
+    /// the server was queried after that.
     pub age: Micros,
 }
 
-/// A server in the run of its process that the sender knows: what another run shows would be counted for the wrong one.
+/// Server process, identified by the server's id and the incarnation known to the sender. Without the incarnation,
+/// the status of a restarted process would be attributed to the wrong one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerProcess {
-    /// The server's id.
+    /// Id of the server.
     pub id: Name,
-    /// The run.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
 }
 
 impl From<&Server> for ServerProcess {
-    fn from(it: &Server) -> ServerProcess {
-        ServerProcess { id: it.id.clone(), incarnation: it.incarnation }
+    fn from(server: &Server) -> ServerProcess {
+        ServerProcess { id: server.id.clone(), incarnation: server.incarnation }
     }
 }
 
-/// A wish for a turn at a server.
+/// Request for a permit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// The server.
+    /// Id of the server.
     pub server: Name,
-    /// The statement's rank; its aim counts from now, as clocks are not compared.
+    /// Scheduling rank of the statement. Its deadline is relative to the arrival of the message, as clocks of
+    /// instances are not comparable.
     pub rank: Rank,
-    /// A statement that takes longer is slow, in microseconds.
+    /// Duration above which the statement counts as slow, in microseconds.
     pub slow: Micros,
-    /// How long it may wait, in milliseconds.
+    /// Maximum waiting time, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// A wish for what another instance knows of a collection.
+/// Request for an update of a collection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchRequest {
-    /// The collection.
+    /// Collection to fetch.
     pub what: Collection,
-    /// Who wants it.
+    /// Name of the requesting instance.
     pub from: Name,
-    /// The version that is known there; 0 if none is, or the whole is wanted.
+    /// Version known to the requesting instance; 0 requests the whole collection.
     pub since: u64,
-    /// The version that is being handed out and the bytes that are there of it; none at the beginning.
+    /// Version of the update in transfer and number of bytes received; none for the first chunk.
     pub next: Option<(u64, u32)>,
 }
 
-/// A part of an encoded [`Update`](crate::update::Update).
+/// Chunk of an encoded [`Update`](crate::update::Update).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The version that the document leads to.
+    /// Target version of the update.
     pub at: u64,
-    /// Bytes of the whole document.
+    /// Total size of the update, in bytes.
     pub total: u32,
-    /// Bytes before this part.
+    /// Offset of the chunk, in bytes.
     pub offset: u32,
-    /// The part.
+    /// Content of the chunk.
     pub bytes: Bytes,
 }
 
-/// A statement that another instance runs.
+/// Statement to run on behalf of another instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunRequest {
-    /// Tells the transactions of a link apart.
+    /// Id that distinguishes the transactions on a link.
     pub stream: u64,
-    /// Whether the stream's transaction is open already.
+    /// Set if the transaction of the stream is already open.
     pub pinned: bool,
-    /// The server.
+    /// Server that runs the statement.
     pub server: ServerProcess,
-    /// Its rank among those that wait; its aim counts from now, as clocks are not compared.
+    /// Scheduling rank of the statement. Its deadline is relative to the arrival of the message, as clocks of
+    /// instances are not comparable.
     pub rank: Option<Rank>,
-    /// A statement that takes longer is slow, in microseconds.
+    /// Duration above which the statement counts as slow, in microseconds.
     pub slow: Micros,
-    /// How long it may wait for a connection, in milliseconds.
+    /// Maximum time to wait for a connection, in milliseconds.
     pub wait_ms: u32,
-    /// How long it may take in all, in milliseconds.
+    /// Time left until the deadline of the statement, in milliseconds.
     pub left_ms: u32,
-    /// Whose statement it is.
+    /// Owner of the statement.
     pub owner: Owner,
-    /// The session values that it needs.
+    /// Session values that the statement requires.
     pub values: Vec<(Name, Name)>,
-    /// The named statement that it runs.
+    /// Named statement to execute.
     pub named: Option<Prepared>,
-    /// What is sent.
+    /// Command to send.
     pub what: Command,
 }
 
-/// What is sent to a server.
+/// Command for a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A caller's statement.
+    /// Statement of a caller.
     Statement {
-        /// Its id.
+        /// Id of the statement.
         id: Bytes,
-        /// Its text; the arguments alone if it runs a named statement.
+        /// Text of the statement; only the arguments if it executes a named statement.
         text: Bytes,
-        /// The position that the server's log has to hold.
+        /// Log position that the server must have reached.
         after: Option<LogPosition>,
     },
-    /// An order of pondtrack's own.
+    /// Order of pondtrack itself.
     Order {
-        /// The order.
+        /// Order for the server.
         order: Order,
-        /// The position that the server's log has to hold.
+        /// Log position that the server must have reached.
         after: Option<LogPosition>,
     },
 }
 
-/// What an instance answers another.
+/// Response to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
-    /// The server's answer.
+    /// Answer of the server.
     Answer {
-        /// The answer.
+        /// Answer to the statement.
         answer: Answer,
-        /// Whether the server has a queue.
+        /// Set if statements are queued at the server.
         queued: bool,
     },
-    /// The statement may run.
+    /// Permit to run the statement.
     #[serde(rename = "Turn")]
     Permit {
-        /// Tells turns apart.
+        /// Id of the permit.
         #[serde(rename = "turn")]
         permit: u64,
-        /// Whether others have to wait.
+        /// Set while other statements have to wait.
         #[serde(rename = "crowded")]
         overloaded: bool,
     },
-    /// Nothing was sent: the server has too much to do to answer in time.
+    /// Nothing was sent: the server is too overloaded to answer before the deadline.
     Refused,
-    /// Nothing was sent to the server.
+    /// Nothing was sent to the server, for the given reason.
     NotSent(String),
     /// Nothing was sent: no connection was free.
     Busy,
-    /// It was sent, and what became of it is not known.
+    /// The command was sent and its outcome is unknown, for the given reason.
     Broken(String),
-    /// The server's account of itself, if it gave one.
+    /// Status of the server, if the server answered.
     Status(Option<Status>),
-    /// What is known of a group: the latest account of each of its servers.
+    /// Last known status of each server of a group.
     State(Vec<StatusReport>),
-    /// Nothing was sent: nobody listens at the server's address.
+    /// Nothing was sent: nothing listens on the server's address.
     Gone,
-    /// It was sent, and not answered in time.
+    /// The command was sent, and not answered in time.
     Late,
-    /// A part of a document.
+    /// Chunk of an update.
     #[serde(rename = "Part")]
     Chunk(Chunk),
-    /// The other one's shares are used here, and the present moment.
+    /// The loan is in use at the receiver.
     Lent {
-        /// The slots, and whether the message was ignored.
+        /// Borrowed slots, or a notice that the message was ignored.
         answer: Reply,
-        /// The moment.
+        /// Current time of the borrower.
         stamp: Stamp,
-        /// Whether the instance leaves, so that others should be asked.
+        /// Set if the borrower is leaving, so that other instances should be asked.
         leaving: bool,
-        /// How many instances share the limits, as that one has counted them.
+        /// Number of instances that share the quotas, as counted by the borrower.
         count: u32,
-        /// The version of the configuration there, and how long ago that is known to have been the newest, in
+        /// Version of the borrower's configuration, and the time since it was confirmed as the newest, in
         /// milliseconds.
         confirmed: Option<(u64, u32)>,
     },
-    /// What becomes of each claim.
+    /// Result of each claim.
     Granted(Vec<Grant>),
-    /// Others are handed a document at present. The instance that is named has it, or none is known that has.
+    /// All upload slots are taken. The named instance has the update; none if no such instance is known.
     Elsewhere(Option<Name>),
 }
 
 impl Request {
-    /// Whether it may wait for a turn or a connection, and be cancelled meanwhile.
+    /// Returns true if the request may wait for a permit or a connection, and may be cancelled while it waits.
     pub fn is_cancellable(&self) -> bool {
         match self {
             Request::Run(_) | Request::Permit(_) => true,
@@ -358,24 +362,24 @@
 }
 
 impl Response {
-    /// Whether a server may have what was asked to be run.
+    /// Returns true if a server may have received the command.
     pub fn may_have_run(&self) -> bool {
         !matches!(self, Response::NotSent(_) | Response::Busy | Response::Refused | Response::Gone)
     }
 }
 
 impl Message {
-    /// Appends it with its length.
+    /// Appends the message with its length prefix.
     pub fn encode(&self, out: &mut BytesMut) {
         let bytes = postcard::to_stdvec(self).expect("messages are plain data, which always encodes");
         out.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
         out.extend_from_slice(&bytes);
     }
 
-    /// Decodes a message without its length; none for bytes that are none, which ends the link.
+    /// Decodes a message without its length prefix. Returns none for invalid bytes, which closes the link.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         match postcard::from_bytes(bytes) {
-            Ok(it) => Some(it),
+            Ok(message) => Some(message),
             Err(e) => {
                 log::warn!(step = "link"; "not a message: {e}");
                 None
--- a/crates/engine/src/model.rs
+++ b/crates/engine/src/model.rs
@@ -1,4 +1,4 @@
-//! Statements, answers and configuration, whatever wire they travel on.
+//! Statements, answers and configuration, independent of the wire protocol.
 
 use {
     crate::organisation::{CallerKey, KeyHash, Organisations, Owner},
@@ -9,139 +9,140 @@
     strum::{Display, IntoStaticStr},
 };
 
-/// Whether a statement may change data.
+/// Access mode of a statement or transaction.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, IntoStaticStr, Serialize, Deserialize,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Access {
-    /// It reads only.
+    /// Read-only.
     Read,
-    /// It may write.
+    /// Read-write.
     Write,
 }
 
-/// What a statement asks for. Names and values are the caller's own bytes.
+/// Kind of a statement. Names and values are the caller's own bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
     /// Begins a transaction.
     Begin(Access),
-    /// Ends a transaction and keeps its writes.
+    /// Commits the transaction.
     Commit,
-    /// Ends a transaction and drops its writes.
+    /// Rolls the transaction back.
     Rollback,
-    /// A statement that reads or writes; the text goes to a server unchanged.
+    /// Reads or writes; the text is forwarded to a server unchanged.
     Run(Access),
     /// Sets a session value.
     Set {
-        /// The value's name.
+        /// Name of the value.
         name: Name,
-        /// The value.
+        /// New value.
         value: Name,
     },
-    /// Names a statement for later.
+    /// Prepares a named statement.
     Prepare {
-        /// The caller's name for it.
+        /// Caller's name for the statement.
         name: Name,
-        /// What it will do.
+        /// Access mode of the statement.
         access: Access,
-        /// The statement itself.
+        /// Text of the statement.
         shape: Name,
     },
-    /// Runs a named statement.
+    /// Executes a named statement.
     Execute {
-        /// The caller's name for it.
+        /// Caller's name for the statement.
         name: Name,
-        /// Its arguments.
+        /// Arguments of the statement.
         args: Bytes,
     },
-    /// Forgets a named statement.
+    /// Deallocates a named statement.
     Deallocate {
-        /// The caller's name for it.
+        /// Caller's name for the statement.
         name: Name,
     },
-    /// Not a statement that is understood.
+    /// Not a valid statement.
     Malformed,
 }
 
-/// A caller's statement.
+/// Statement of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// The caller's id for it; unique over all callers and attempts.
+    /// Caller's id for the statement, unique over all callers and attempts.
     pub id: Bytes,
-    /// The text, as the caller sent it.
+    /// Text as sent by the caller.
     pub text: Bytes,
-    /// What it asks for.
+    /// Kind of the statement.
     pub verb: StatementKind,
 }
 
-/// What a caller sends.
+/// Message from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerMessage {
     /// Opens a session.
     Open {
-        /// The database it asks for.
+        /// Requested database.
         database: Name,
-        /// Shows whose caller it is, where callers are told apart.
+        /// Key that identifies the caller's organisation, where organisations are configured.
         key: CallerKey,
     },
-    /// A statement.
+    /// Statement to run.
     Statement(Statement),
-    /// Ends the session.
+    /// Closes the session.
     Close,
-    /// A message that is not understood, with the reason.
+    /// Malformed message, with the reason.
     Malformed(&'static str),
 }
 
-/// Whether a session or connection is inside a transaction.
+/// Transaction state of a session or connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display, IntoStaticStr, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum TxnState {
-    /// In none.
+    /// Outside a transaction.
     #[default]
     Idle,
-    /// In one.
+    /// Inside a transaction.
     Open,
-    /// In one that has failed and can only be rolled back.
+    /// Inside a failed transaction, which can only be rolled back.
     Failed,
 }
 
-/// Why a statement has no result.
+/// Reasons why a statement has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum ErrorCode {
-    /// Too much to do: not run.
+    /// Overload; the statement was not run.
     Busy,
-    /// The transaction was rolled back: nothing of it is kept.
+    /// The transaction was rolled back; none of its writes are kept.
     Aborted,
-    /// The server's log doesn't reach the position asked for: not run.
+    /// The server's log has not reached the requested position; the statement was not run.
     Lagging,
-    /// The server isn't the primary: not run, or rolled back.
+    /// The server is not the primary; the statement was not run, or was rolled back.
     ReadOnly,
-    /// Another server than the one asked for: not run.
+    /// The connection reached a different server than requested; the statement was not run.
     WrongServer,
-    /// The server has no connection to spare: not run.
+    /// The server has reached its connection limit; the statement was not run.
     TooMany,
-    /// No such named statement: not run.
+    /// The named statement does not exist; the statement was not run.
     NoStatement,
-    /// It ran and failed.
+    /// The statement ran and failed.
     Failed,
-    /// It ran and was ended for its time; what it did is not known.
+    /// The statement ran and was aborted by a timeout; its effects are unknown.
     Timeout,
-    /// It may or may not have taken effect.
+    /// The statement may or may not have taken effect.
     Unknown,
-    /// No such database.
+    /// The database does not exist.
     NoDatabase,
-    /// The message is larger than allowed.
+    /// The message exceeds the size limit.
     TooLarge,
-    /// The message isn't understood, or not at this point.
+    /// The message is malformed, or not valid in the current state.
     Malformed,
-    /// The caller is not allowed in.
+    /// The caller is not authorised.
     NoAuth,
 }
 
 impl ErrorCode {
-    /// Whether it states that the statement didn't run, and left the transaction state as it was.
+    /// Returns true if the code guarantees that the statement did not run and that the transaction state is
+    /// unchanged.
     pub fn is_not_run(self) -> bool {
         matches!(
             self,
@@ -155,45 +156,46 @@
     }
 }
 
-/// How a statement ended.
+/// Completion status of a statement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Completion {
-    /// With success; the server's proof of it, or nothing for statements answered here.
+    /// Success, with the server's completion token; none for statements answered without a server.
     Done(Option<Bytes>),
-    /// With an error.
+    /// Error.
     Error {
-        /// What kind.
+        /// Error code.
         code: ErrorCode,
-        /// For people, and when to come back.
+        /// Message for people, which may state when to retry.
         text: Bytes,
     },
 }
 
-/// A whole answer to one statement.
+/// Complete answer to one statement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The rows, each as the server sent it.
+    /// Rows, as sent by the server.
     pub rows: Vec<Bytes>,
-    /// How it ended.
+    /// Completion status.
     pub end: Completion,
-    /// The transaction state after it.
+    /// Transaction state after the statement.
     pub txn: TxnState,
-    /// The position that the server's reads show after it, or that a commit has in the log.
+    /// Log position that reads on the server reflect after the statement; for a commit, the position of the
+    /// commit.
     pub mark: Option<LogPosition>,
 }
 
 impl Answer {
-    /// A success that needed no server.
+    /// Creates a success that needed no server.
     pub fn done(txn: TxnState) -> Answer {
         Answer { rows: Vec::new(), end: Completion::Done(None), txn, mark: None }
     }
 
-    /// An error.
+    /// Creates an error.
     pub fn error(code: ErrorCode, text: impl Into<Bytes>, txn: TxnState) -> Answer {
         Answer { rows: Vec::new(), end: Completion::Error { code, text: text.into() }, txn, mark: None }
     }
 
-    /// The error's kind, if it is one.
+    /// Returns the error code; none for a success.
     pub fn error_code(&self) -> Option<ErrorCode> {
         match &self.end {
             Completion::Done(_) => None,
@@ -201,87 +203,87 @@
         }
     }
 
-    /// Whether it is a success.
+    /// Returns true for a success.
     pub fn is_done(&self) -> bool {
         matches!(self.end, Completion::Done(_))
     }
 }
 
-/// How a server sees itself.
+/// Replication role that a server reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, IntoStaticStr, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum Role {
-    /// It takes writes.
+    /// Accepts writes.
     Primary,
-    /// It follows a primary.
+    /// Replicates from a primary.
     Replica,
 }
 
-/// A server's account of itself.
+/// Status that a server reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its role.
+    /// Replication role.
     pub role: Role,
-    /// The newest term it knows.
+    /// Highest term known to the server.
     pub term: Term,
-    /// The end of its log.
+    /// End of the server's log.
     pub received: LogPosition,
-    /// The term at which it was told to stop receiving; none while it receives.
+    /// Term at which replication was paused; none while the server receives.
     pub paused: Option<Term>,
-    /// How far its reads are behind its log, in milliseconds.
+    /// Replay lag of reads behind the end of the log, in milliseconds.
     pub lag: u64,
-    /// Statements it works on.
+    /// Number of statements in progress.
     pub busy: u64,
-    /// Connections from all callers together.
+    /// Number of connections from all clients.
     pub conns: u64,
 }
 
-/// What is asked of a server on pondtrack's own account.
+/// Command that pondtrack itself sends to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// For its account of itself.
+    /// Reports the [`Status`].
     Status,
-    /// To stop receiving from primaries below a term.
+    /// Stops receiving from primaries below a term (fencing).
     Pause(Term),
-    /// To receive again.
+    /// Resumes receiving.
     Resume,
-    /// To become a replica if its term is lower.
+    /// Demotes the server to a replica if its term is lower.
     StepDown(Term),
-    /// To forget session values and named statements.
+    /// Discards session values and named statements.
     Reset,
-    /// To set a session value.
+    /// Sets a session value.
     Set {
-        /// The value's name.
+        /// Name of the value.
         name: Name,
-        /// The value.
+        /// New value.
         value: Name,
     },
-    /// To name a statement.
+    /// Prepares a named statement.
     Prepare {
-        /// The name on this connection.
+        /// Name of the statement on this connection.
         name: Name,
-        /// What it will do.
+        /// Access mode of the statement.
         access: Access,
-        /// The statement.
+        /// Text of the statement.
         shape: Name,
     },
-    /// To roll a transaction back.
+    /// Rolls the transaction back.
     Rollback,
 }
 
-/// What reads of a route have to show.
+/// Staleness policy for the reads of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadPolicy {
-    /// Everything acknowledged before the read.
+    /// Reads reflect everything acknowledged before the read.
     Latest,
-    /// Everything acknowledged longer ago than this.
+    /// Reads reflect everything acknowledged longer ago than this duration.
     Bounded(Duration),
-    /// The same, and everything that the session has written.
+    /// Like [`ReadPolicy::Bounded`], and reads also reflect the session's own writes.
     OwnWrites(Duration),
 }
 
 impl ReadPolicy {
-    /// How old the answer may be; none when it has to be the latest.
+    /// Returns the maximum staleness; none if reads have to reflect the latest acknowledged write.
     pub fn max_age(self) -> Option<Duration> {
         match self {
             ReadPolicy::Latest => None,
@@ -290,90 +292,90 @@
     }
 }
 
-/// How callers of a database are served.
+/// Service parameters for the callers of a database.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The database that callers ask for.
+    /// Database name requested by callers.
     pub database: Name,
-    /// The group that serves it.
+    /// Group that serves the database.
     pub group: Name,
-    /// What its reads have to show.
+    /// Staleness policy for reads.
     pub policy: ReadPolicy,
-    /// The longest time for one statement.
+    /// Maximum duration of one statement.
     pub timeout: Duration,
-    /// The response time that callers hope for, over the whole operation.
+    /// Latency objective for the whole operation.
     pub objective: Duration,
-    /// Rank among routes that compete; 0 goes first.
+    /// Priority among competing routes; 0 is the highest.
     pub priority: u8,
-    /// Whether callers need no key.
+    /// Set if callers need no key.
     pub public: bool,
 }
 
-/// Limits of a group's servers.
+/// Limits for the servers of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupSpec {
-    /// The group.
+    /// Name of the group.
     pub name: Name,
-    /// The most connections to one server, of all instances together.
+    /// Maximum number of connections to one server, summed over all instances.
     pub conns: usize,
 }
 
-/// A configuration in full.
+/// Complete configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Its version; a higher one replaces it.
+    /// Version number; a higher version replaces the configuration.
     pub version: u64,
     /// Routes, sorted by database.
     pub routes: Vec<Route>,
     /// Groups, sorted by name.
     pub groups: Vec<GroupSpec>,
-    /// Organisations; none where callers are not told apart.
+    /// Organisations; none if callers are not assigned to organisations.
     pub organisations: Option<Organisations>,
-    /// A transaction that is idle for longer may be ended.
+    /// Idle time after which a transaction may be aborted.
     pub txn_idle: Duration,
-    /// The longest statement of a caller, in bytes.
+    /// Maximum length of a caller's statement, in bytes.
     pub message_bytes: usize,
 }
 
 impl Config {
-    /// The route of a database.
+    /// Returns the route of a database.
     pub fn route(&self, database: &str) -> Option<&Route> {
-        let at = self.routes.binary_search_by(|it| it.database.as_str().cmp(database)).ok()?;
+        let at = self.routes.binary_search_by(|r| r.database.as_str().cmp(database)).ok()?;
         Some(&self.routes[at])
     }
 
-    /// Whether organisations have quotas, so that their callers compete for room.
+    /// Returns true if any organisation has a quota, so that callers compete for capacity.
     pub fn is_limited(&self) -> bool {
         self.organisations.as_ref().is_some_and(Organisations::is_limited)
     }
 
-    /// Whose a caller with a key is on a route; none where it isn't allowed there.
+    /// Returns the owner of a caller with this key on a route; none if the caller is not allowed on the route.
     pub fn owner_of(&self, key: &KeyHash, route: &Route) -> Option<Owner> {
         let Some(organisations) = &self.organisations else { return Some(Owner::Shared) };
         match organisations.find_by_key(key) {
-            Some(it) => Some(Owner::Organisation(it.name.clone())),
+            Some(o) => Some(Owner::Organisation(o.name.clone())),
             None => route.public.then_some(Owner::Shared),
         }
     }
 }
 
-/// A database server, as its entry in the directory describes it.
+/// Database server, as described by its entry in the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its id; another server at the same address has another one.
+    /// Id of the server; a different server at the same address has a different id.
     pub id: Name,
-    /// The run of its process that wrote the entry.
+    /// Incarnation of the server process that wrote the entry.
     pub incarnation: Incarnation,
-    /// The group it belongs to.
+    /// Group of the server.
     pub group: Name,
-    /// Its address.
+    /// Address of the server.
     pub addr: SocketAddrV4,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: Name,
-    /// Statements it works on at once.
+    /// Number of statements that the server runs concurrently.
     pub slots: usize,
-    /// Whether it is about to leave.
+    /// Set while the server is draining.
     pub draining: bool,
-    /// How it sees itself, if it says so.
+    /// Replication role, if the entry states one.
     pub role: Option<Role>,
 }
--- a/crates/engine/src/organisation.rs
+++ b/crates/engine/src/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations: whose callers they are, by their keys, and what they may use.
+//! Organisations: the owners of callers, identified by keys, and their quotas.
 
 use {
     pondtrack_core::{quota::Limits, turn::Share},
@@ -10,20 +10,20 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Stands for all callers of no organisation together, where callers are told apart.
-const UNNAMED: u64 = 1;
+/// Share id of all callers without an organisation, where organisations are configured.
+const NO_ORGANISATION: u64 = 1;
 
-/// A caller's key, as it was sent. It is a secret: it is not printed, and kept only until it is hashed.
+/// Key of a caller, as sent. It is a secret: it is never printed, and is kept only until it is hashed.
 #[derive(Clone, PartialEq, Eq)]
 pub struct CallerKey(Name);
 
 impl CallerKey {
-    /// What a caller sent.
-    pub fn new(it: &str) -> CallerKey {
-        CallerKey(Name::from(it))
+    /// Wraps the key sent by a caller.
+    pub fn new(key: &str) -> CallerKey {
+        CallerKey(Name::from(key))
     }
 
-    /// Its hash.
+    /// Returns the hash of the key.
     pub fn hash(&self) -> KeyHash {
         KeyHash::of(&self.0)
     }
@@ -35,13 +35,13 @@
     }
 }
 
-/// The hash of a key, which stands for it wherever keys are kept or sent: whoever sees it can't open a session. Keys are
-/// random words, which nobody can try out one by one, so that one round of hashing is enough.
+/// Hash of a key, which replaces the key wherever keys are stored or sent, so that a leaked hash can't open a
+/// session. A single round of hashing suffices, because keys are random words that can't be found by trial.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyHash([u8; 32]);
 
 impl KeyHash {
-    /// The hash of a key.
+    /// Hashes a key.
     pub fn of(key: &str) -> KeyHash {
         KeyHash(Sha256::digest(key.as_bytes()).into())
     }
@@ -53,42 +53,42 @@
     }
 }
 
-/// An organisation.
+/// Organisation whose callers connect with its keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name, which servers are told.
+    /// Name of the organisation, which is sent to servers.
     pub name: Name,
-    /// Its keys, sorted.
+    /// Hashes of the keys, sorted.
     pub keys: Vec<KeyHash>,
-    /// What it may use of all instances together; none where nothing limits it.
+    /// Quota over all instances together; none if unlimited.
     pub quota: Option<Quota>,
 }
 
-/// What an organisation may use.
+/// Quota of an organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Operations a second.
+    /// Operations per second.
     pub rate: f64,
-    /// Operations at once after a pause.
+    /// Burst size: operations at once after an idle period.
     pub burst: f64,
 }
 
 impl Quota {
-    /// The limit with what is tolerated above it, in operations.
+    /// Returns the limits that include the tolerated margin, in operations.
     pub fn limits(self, margin: f64) -> Limits {
         Limits { rate: self.rate, burst: self.burst, margin }
     }
 }
 
-/// All organisations, by name and by key.
+/// All organisations, indexed by name and by key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Vec<Organisation>", into = "Vec<Organisation>")]
 pub struct Organisations {
     /// Sorted by name.
     all: Vec<Organisation>,
-    /// Which of them has a key; sorted by key.
+    /// Index into `all` for each key; sorted by key.
     keys: Vec<(KeyHash, usize)>,
-    /// Whether any of them has a quota.
+    /// Set if any organisation has a quota.
     limited: bool,
 }
 
@@ -99,67 +99,67 @@
 }
 
 impl From<Organisations> for Vec<Organisation> {
-    fn from(it: Organisations) -> Vec<Organisation> {
-        it.all
+    fn from(organisations: Organisations) -> Vec<Organisation> {
+        organisations.all
     }
 }
 
 impl Organisations {
-    /// Puts them in order. A key that two of them have is nobody's: it doesn't tell whose request it is.
+    /// Builds the index. A key of two organisations is dropped, because it does not identify an owner.
     pub fn new(mut all: Vec<Organisation>) -> Organisations {
         all.sort_by(|a, b| a.name.cmp(&b.name));
-        let held =
-            |(at, it): (usize, &Organisation)| it.keys.iter().map(move |key| (*key, at)).collect::<Vec<_>>();
-        let mut keys: Vec<(KeyHash, usize)> = all.iter().enumerate().flat_map(held).collect();
+        let with_index =
+            |(at, o): (usize, &Organisation)| o.keys.iter().map(move |key| (*key, at)).collect::<Vec<_>>();
+        let mut keys: Vec<(KeyHash, usize)> = all.iter().enumerate().flat_map(with_index).collect();
         keys.sort_unstable();
         keys.dedup();
-        let shared: Vec<KeyHash> =
-            keys.windows(2).filter(|it| it[0].0 == it[1].0).map(|it| it[0].0).collect();
-        keys.retain(|it| shared.binary_search(&it.0).is_err());
-        let limited = all.iter().any(|it| it.quota.is_some());
+        let ambiguous: Vec<KeyHash> =
+            keys.windows(2).filter(|pair| pair[0].0 == pair[1].0).map(|pair| pair[0].0).collect();
+        keys.retain(|entry| ambiguous.binary_search(&entry.0).is_err());
+        let limited = all.iter().any(|o| o.quota.is_some());
         Organisations { all, keys, limited }
     }
 
-    /// All, sorted by name.
+    /// Returns all organisations, sorted by name.
     pub fn all(&self) -> &[Organisation] {
         &self.all
     }
 
-    /// Whether any of them has a quota.
+    /// Returns true if any organisation has a quota.
     pub fn is_limited(&self) -> bool {
         self.limited
     }
 
-    /// The organisation that has a key.
+    /// Returns the organisation that owns a key.
     pub fn find_by_key(&self, key: &KeyHash) -> Option<&Organisation> {
-        let at = self.keys.binary_search_by(|it| it.0.cmp(key)).ok()?;
+        let at = self.keys.binary_search_by(|entry| entry.0.cmp(key)).ok()?;
         Some(&self.all[self.keys[at].1])
     }
 
-    /// An organisation, by its name.
+    /// Returns the organisation with a name.
     pub fn get(&self, name: &str) -> Option<&Organisation> {
-        let at = self.all.binary_search_by(|it| it.name.as_str().cmp(name)).ok()?;
+        let at = self.all.binary_search_by(|o| o.name.as_str().cmp(name)).ok()?;
         Some(&self.all[at])
     }
 
-    /// An owner's share of a server that has too much to do: by the operations a second that it may use.
+    /// Returns the fair share of an owner at an overloaded server, weighted by the quota's operations per second.
     pub fn share(&self, owner: &Owner) -> Share {
-        let Owner::Organisation(name) = owner else { return Share { owner: UNNAMED, weight: 1 } };
-        let quota = self.get(name).and_then(|it| it.quota);
-        let weight = quota.map_or(1, |it| it.rate.max(1.0) as u32);
-        Share { owner: xxh3_64(name.as_bytes()).max(UNNAMED + 1), weight }
+        let Owner::Organisation(name) = owner else { return Share { owner: NO_ORGANISATION, weight: 1 } };
+        let quota = self.get(name).and_then(|o| o.quota);
+        let weight = quota.map_or(1, |q| q.rate.max(1.0) as u32);
+        Share { owner: xxh3_64(name.as_bytes()).max(NO_ORGANISATION + 1), weight }
     }
 }
 
-/// Whose statements a connection to a server carries. It never carries another's.
+/// Owner of the statements on a connection to a server. A connection never carries statements of two owners.
 #[derive(Clone, Debug, Display, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Owner {
-    /// Nobody's in particular: orders of pondtrack's own, callers of public databases without a key, and all callers
-    /// where these aren't told apart.
+    /// No particular owner: orders of pondtrack itself, callers of public databases without a key, and all callers
+    /// if no organisations are configured.
     #[default]
     #[strum(to_string = "shared")]
     Shared,
-    /// An organisation's.
+    /// Organisation.
     #[strum(to_string = "{0}")]
     Organisation(Name),
 }
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -1,7 +1,7 @@
-//! What an edge brings: the wire to callers and servers, the store, the order to promote.
+//! Ports of the engine: the wire protocol towards callers and servers, the store, and the promotion of servers.
 //!
-//! These are the only traits of the engine. An implementation translates; it holds no timer, retry or
-//! choice.
+//! These are the only traits of the engine. An implementation only translates: it contains no timers, retries or
+//! decisions.
 
 use {
     crate::{
@@ -19,69 +19,70 @@
 
 pub use pondtrack_core::{capacity::Capacity, leader::Leader, lease::LeaseRecord};
 
-/// Bytes that are not a message of the wire.
+/// Error for bytes that are not a message of the wire protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("not a message of this protocol: {reason}"))]
 pub struct WireError {
-    /// What is wrong with them.
+    /// Description of the error.
     pub reason: &'static str,
 }
 
-/// A statement towards a server.
+/// Statement to forward to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Forward<'a> {
-    /// The caller's id for it.
+    /// Caller's id for the statement.
     pub id: &'a Bytes,
-    /// What is run.
+    /// Text to run.
     pub text: Text<'a>,
-    /// The position that the server's log has to hold, or the statement doesn't run.
+    /// Log position that the server must have reached; otherwise the statement does not run.
     pub after: Option<LogPosition>,
 }
 
-/// The text of a statement towards a server.
+/// Text of a statement to forward.
 #[derive(Clone, Copy, Debug)]
 pub enum Text<'a> {
-    /// As the caller sent it.
+    /// Text as sent by the caller.
     Plain(&'a Bytes),
-    /// A named statement, under its name on the server's connection.
+    /// Execution of a named statement.
     Execute {
-        /// The name.
+        /// Name of the statement on the server's connection.
         name: &'a str,
-        /// The caller's arguments.
+        /// Arguments of the caller.
         args: &'a Bytes,
     },
 }
 
-/// The wire that callers and servers speak.
+/// Wire protocol between callers, pondtrack and servers.
 pub trait WireProtocol {
-    /// Takes the next whole message of a caller out of `buf`; an error ends the session.
+    /// Removes the next complete message of a caller from `buf`; an error ends the session.
     fn decode_caller(&self, buf: &mut BytesMut) -> Result<Option<CallerMessage>, WireError>;
 
     /// Appends an answer to a caller.
     fn encode_answer(&self, answer: &Answer, out: &mut BytesMut);
 
-    /// Appends the answer to a session that was opened.
+    /// Appends the answer to a successful open message.
     fn encode_welcome(&self, out: &mut BytesMut);
 
     /// Appends the refusal of a session.
     fn encode_refusal(&self, answer: &Answer, out: &mut BytesMut);
 
-    /// Appends the opening of a connection, for an owner's statements, to a server that must have this id.
+    /// Appends the open message for a connection that carries the statements of an owner. The server must have the
+    /// given id.
     fn encode_open(&self, group: &str, id: &str, owner: &Owner, out: &mut BytesMut);
 
-    /// Appends a caller's statement towards a server.
-    fn encode_statement(&self, it: Forward<'_>, out: &mut BytesMut);
+    /// Appends a caller's statement for a server.
+    fn encode_statement(&self, statement: Forward<'_>, out: &mut BytesMut);
 
-    /// Appends an order of pondtrack's own towards a server.
+    /// Appends an order of pondtrack itself for a server.
     fn encode_order(&self, order: &Order, after: Option<LogPosition>, out: &mut BytesMut);
 
-    /// Takes the whole answer to an opening out of `buf`.
+    /// Removes the complete answer to an open message from `buf`.
     fn decode_open(&self, buf: &mut BytesMut) -> Result<Option<Answer>, WireError>;
 
-    /// Takes the next whole answer to a statement or an order out of `buf`.
+    /// Removes the next complete answer to a statement or an order from `buf`.
     fn decode_answer(&self, buf: &mut BytesMut) -> Result<Option<Answer>, WireError>;
 
-    /// Reads the answer to [`Order::Status`], and to the orders that are answered like it.
+    /// Decodes the answer to [`Order::Status`], and to the orders that are answered with a status.
     fn decode_status(&self, answer: &Answer) -> Option<Status>;
 }
 
@@ -89,118 +90,120 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Collection {
-    /// The configuration.
+    /// Configuration.
     #[serde(rename = "Desired")]
     #[strum(serialize = "desired")]
     Config,
-    /// The directory of servers.
+    /// Directory of servers.
     Servers,
-    /// Instances of pondtrack that are up.
+    /// Live instances of pondtrack.
     Instances,
-    /// The right to give orders.
+    /// Lease for giving orders.
     Leases,
-    /// Who led each group, by the group's name.
+    /// Last known leader of each group, by the group's name.
     Leaders,
 }
 
-/// An instance's own entry.
+/// Entry of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// Counts up at each heartbeat.
+    /// Heartbeat counter.
     pub beat: u64,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Name,
-    /// Where it answers other instances.
+    /// Address on which the instance accepts links.
     pub addr: SocketAddrV4,
-    /// What it can carry, where it states that.
+    /// Capacity of the instance, if stated.
     #[serde(default)]
     pub capacity: Option<Capacity>,
 }
 
-/// What an object in the store holds.
+/// Content of an object in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// The configuration.
+    /// Configuration.
     Config(Config),
-    /// A server.
+    /// Server.
     Server(Server),
-    /// An instance.
+    /// Instance.
     Instance(InstanceRecord),
-    /// A lease.
+    /// Lease.
     Lease(LeaseRecord),
-    /// Who led a group.
+    /// Last known leader of a group.
     Leader(Leader),
-    /// An object that can't be read, with the reason.
+    /// Undecodable object, with the reason.
     Unreadable(String),
 }
 
-/// An object in the store.
+/// Object in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Object {
-    /// Its name.
+    /// Name of the object.
     pub name: Name,
-    /// The store's revision of its last change.
+    /// Store revision of the last change of the object.
     pub revision: Revision,
-    /// What it holds; none when it was deleted.
+    /// Content of the object; none if the object was deleted.
     pub record: Option<Record>,
 }
 
-/// Objects, complete or changed, as of a revision of the store.
+/// All objects of a collection, or its changed objects, as of a revision of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objects {
-    /// The objects.
+    /// Objects.
     pub items: Vec<Object>,
-    /// The store's revision.
+    /// Revision of the store.
     pub as_of: Revision,
 }
 
-/// Why a call of the store has no result.
+/// Reasons why a call of the store has no result.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(module)]
 pub enum StoreError {
-    /// It provably did nothing.
+    /// The call was refused, provably without effect.
     #[snafu(display("the store refused the call: {reason}"))]
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: String,
     },
-    /// The object isn't at the revision that the call named.
+    /// The object is not at the expected revision.
     #[snafu(display("the object has another revision"))]
     Conflict {
-        /// The object as it is, if the answer told.
+        /// Current state of the object, if the store reported it.
         current: Option<Box<Object>>,
     },
-    /// There is no such object.
+    /// The object does not exist.
     #[snafu(display("no such object"))]
     Missing,
-    /// The changes since the revision are no longer kept.
-    #[snafu(display("the history is gone"))]
+    /// The changes since the revision have been compacted.
+    #[snafu(display("the history is compacted"))]
     Compacted,
-    /// There is no answer; the call may have been carried out, or may be yet.
+    /// No answer: the call may have taken effect, or may still do so.
     #[snafu(display("no answer of the store at {step}: {reason}"))]
     Unanswered {
-        /// What was being done.
+        /// Failed step of the call.
         step: &'static str,
-        /// Why.
+        /// Description of the failure.
         reason: String,
     },
 }
 
-/// The outcome of a call.
+/// Future of a call's result.
 pub type CallFuture<T, E> = LocalBoxFuture<'static, Result<T, E>>;
 
-/// The platform's store. Each call is one request; nothing is repeated.
+/// Store of the platform. Each call is one request; nothing is retried.
 pub trait Store {
-    /// The latest era of the store that any answer has told so far, also one that refused a call; none before the first.
+    /// Returns the highest era in any answer of the store so far, including refusals; none before the first
+    /// answer.
     fn era(&self) -> Option<u64>;
 
-    /// Reads a collection; `stale` allows an answer that is seconds old, at a lower price.
+    /// Lists a collection. With `stale`, the answer may be seconds old, at a lower cost.
     fn list(&self, what: Collection, stale: bool) -> CallFuture<Objects, StoreError>;
 
-    /// Waits for changes since a revision.
+    /// Waits for changes since a revision, for `wait` at most.
     fn watch(&self, what: Collection, since: Revision, wait: Duration) -> CallFuture<Objects, StoreError>;
 
-    /// Writes an object: replaces it at this revision, or creates it with none. Hands back its revision.
+    /// Writes an object and returns its new revision. The object is replaced if it is at `revision`, and created
+    /// if `revision` is none.
     fn put(
         &self,
         what: Collection,
@@ -209,43 +212,43 @@
         revision: Option<Revision>,
     ) -> CallFuture<Revision, StoreError>;
 
-    /// Removes an object.
+    /// Deletes an object.
     fn remove(&self, what: Collection, name: Name) -> CallFuture<(), StoreError>;
 }
 
-/// Why an order to promote has no success.
+/// Reasons why a promotion has no success.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum PromoteError {
-    /// The server isn't running.
+    /// The server is not running.
     #[snafu(display("the server to promote isn't running"))]
     NotRunning,
-    /// It provably did nothing.
+    /// The order was refused, provably without effect.
     #[snafu(display("the order was refused: {reason}"))]
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: String,
     },
-    /// There is no answer; it may have been carried out.
+    /// No answer: the order may have been carried out.
     #[snafu(display("no answer to the order: {reason}"))]
     Unanswered {
-        /// Why.
+        /// Description of the failure.
         reason: String,
     },
 }
 
-/// The platform's order that makes a server the primary.
+/// Promotion of servers by the platform.
 pub trait Promoter {
-    /// Gives the order, in the name of a holder with its fencing token.
+    /// Orders a promotion in the name of a lease holder with its fencing token.
     fn promote(&self, group: Name, server: Name, holder: Name, token: u64) -> CallFuture<(), PromoteError>;
 }
 
-/// Everything that an edge brings.
+/// Adapters that implement the ports of the engine.
 pub struct Adapters {
-    /// The wire.
+    /// Wire protocol.
     pub protocol: Box<dyn WireProtocol>,
-    /// The store.
+    /// Store of the platform.
     pub store: Box<dyn Store>,
-    /// The order to promote.
+    /// Promotion of servers.
     pub promoter: Box<dyn Promoter>,
 }
--- a/crates/engine/src/report.rs
+++ b/crates/engine/src/report.rs
@@ -1,4 +1,4 @@
-//! Lines now and then that say how much was done, and how servers are seen.
+//! Periodic log lines with the counters and the observed state of servers.
 
 use {
     crate::{count::Count, instance::Instance},
@@ -7,25 +7,25 @@
     tokio::time::sleep,
 };
 
-/// Between two lines: rare enough to cost nothing, often enough to place an event.
-const PERIOD: Duration = Duration::from_secs(10);
+/// Interval between reports: long enough to cost nothing, short enough to locate an event in time.
+const INTERVAL: Duration = Duration::from_secs(10);
 
-/// Logs the counters now and then, for good.
+/// Logs a report periodically; never returns.
 pub async fn run(inst: Rc<Instance>) {
     loop {
-        sleep(PERIOD).await;
-        line(&inst);
+        sleep(INTERVAL).await;
+        log_report(&inst);
     }
 }
 
-/// Logs the counters.
-pub fn line(inst: &Instance) {
-    let counts = Count::iter().map(|it| (it, inst.counters.get(it))).filter(|it| it.1 > 0);
-    let text: Vec<String> = counts.map(|(it, n)| format!("{it}={n}")).collect();
+/// Logs the counters, and the servers of each group in use.
+pub fn log_report(inst: &Instance) {
+    let counts = Count::iter().map(|c| (c, inst.counters.get(c))).filter(|c| c.1 > 0);
+    let text: Vec<String> = counts.map(|(c, n)| format!("{c}={n}")).collect();
     log::info!(sessions = inst.sessions.get(); "counted since the start: {}", text.join(" "));
     let now = inst.now();
-    for group in inst.groups().into_iter().filter(|it| it.is_used()) {
-        let servers: Vec<String> = group.servers().iter().map(|it| it.account(now)).collect();
+    for group in inst.groups().into_iter().filter(|g| g.is_used()) {
+        let servers: Vec<String> = group.servers().iter().map(|s| s.account(now)).collect();
         log::info!(group = group.name.as_str(), term = group.term().0; "servers: {}", servers.join("; "));
     }
 }
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -1,4 +1,4 @@
-//! Timeouts, limits and weights of the engine, each with where its figure comes from.
+//! Timeouts, limits and weights of the engine, with the reasons for their values.
 
 use {
     pondtrack_core::capacity::Capacity,
@@ -6,124 +6,132 @@
     std::{net::SocketAddrV4, time::Duration},
 };
 
-/// What an instance is told about itself.
+/// Settings of one instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name; a new process on the same machine has the same one.
+    /// Name of the instance; a new process on the same machine has the same name.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Name,
-    /// Where other instances connect.
+    /// Address on which the instance accepts links.
     pub peer_addr: SocketAddrV4,
-    /// Whether there was no instance before this one and those that start with it.
+    /// Set if no instances existed before this one and those that start together with it.
     pub first_start: bool,
-    /// What it can carry, where that is stated.
+    /// Capacity of the instance, if stated.
     pub capacity: Option<Capacity>,
 }
 
-/// Times that the platform promises and expects; they may change while an instance runs.
+/// Time limits that the platform guarantees or expects. They may change while an instance runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// From the signal to end until the process is killed.
+    /// Time from the termination signal until the process is killed.
     pub grace: Duration,
-    /// How long a leaving server serves after it said so.
+    /// Time for which a leaving server keeps serving after it announced its departure.
     pub drain: Duration,
-    /// In which a changed configuration has to be in force.
+    /// Time within which a changed configuration has to be in effect.
     pub apply: Duration,
-    /// An instance that doesn't know that its configuration is, or was this long ago, the newest one refuses whoever
-    /// shows a key: it may have been taken away. None where the configuration in force goes on being good.
+    /// Maximum age of the last confirmation that the configuration in effect is the newest. An instance beyond
+    /// this age refuses every caller that presents a key, since the key may have been revoked. None if the
+    /// configuration in effect stays valid.
     pub revoke: Option<Duration>,
-    /// Operations that an organisation may run above its quota, in the span over which that is judged.
+    /// Number of operations that an organisation may run above its quota within the interval over which the quota
+    /// is measured.
     pub quota_margin: u32,
 }
 
-/// Time for a connection to a server to open. A server takes 12 ms, a crossing of zones under 3 ms; the
-/// rest is for a server whose slots are all taken.
+/// Timeout for opening a connection to a server. The server takes 12 ms and the network between zones less than 3
+/// ms; the rest covers a server whose slots are all in use.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time for a question or an order to a server. Long statements take up to 300 ms and go before it.
+/// Timeout for a status query or an order to a server, which may be queued behind long statements of up to 300 ms.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time that a question waits for a connection; statements end sooner than that.
+/// Maximum time that a status query waits for a connection. Statements time out earlier.
 pub const STATUS_CONN_TIMEOUT: Duration = Duration::from_millis(300);
-/// After a server refused a connection for its limit, no further one is opened for this long.
+/// Time without new connections to a server after the server refused one because of its connection limit.
 pub const CONN_LIMIT_BACKOFF: Duration = Duration::from_millis(1_000);
-/// After a server couldn't be reached, it gets no statements for this long.
+/// Time without statements for a server after a failed connection attempt.
 pub const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(300);
-/// The part of a server's connections that the instances count on, in tenths. A server keeps connections
-/// of instances that lost power for three seconds; the rest lets these come back at once.
+/// Tenths of a server's connection limit that are divided among the instances. A server keeps the connections of
+/// instances that lost power for three seconds; the rest lets these instances reconnect immediately.
 pub const SHARED_CONN_TENTHS: usize = 5;
-/// The part that the instances open at most when callers wait, in tenths: each the same number, so that
-/// none has all of them while others have none.
+/// Maximum tenths of a server's connection limit that the instances open while callers wait. Each instance may
+/// open the same number, so that no instance takes all connections while others have none.
 pub const MAX_CONN_TENTHS: usize = 9;
-/// Connections above the share are closed when they are idle for this long.
+/// Idle time after which connections above the share are closed.
 pub const EXTRA_CONN_IDLE: Duration = Duration::from_millis(1_500);
-/// Evidence of a group's state is renewed at the next read when it is older than this part of the age
-/// that the route allows, in percent. A renewal takes a few milliseconds; the rest is for its repetition.
+/// Age above which the next read refreshes the evidence of a group's state, in percent of the staleness that the
+/// route allows. A refresh takes a few milliseconds; the rest is for its retry.
 pub const EVIDENCE_REFRESH_PERCENT: u64 = 65;
-/// Taken off the age that a route allows, for what happens between the choice and the read.
+/// Safety margin subtracted from the staleness that a route allows, for the time between the choice of a server
+/// and the read.
 pub const STALENESS_MARGIN: Duration = Duration::from_millis(100);
-/// Between two questions to a replica that has not received a commit yet; a crossing of zones.
+/// Minimum interval for polling a replica that has not received a commit yet: the network latency between zones.
 pub const MIN_REPLICATION_POLL: Duration = Duration::from_millis(2);
-/// The longest pause of this kind, for a replica that falls behind.
+/// Maximum interval for polling such a replica if it falls behind.
 pub const MAX_REPLICATION_POLL: Duration = Duration::from_millis(32);
-/// After this long without an answer from one replica, all are asked.
+/// Time without an answer from one replica after which all replicas are queried.
 pub const STATUS_HEDGE_DELAY: Duration = Duration::from_millis(25);
-/// After a statement has had no answer for this long, its server is asked whether it is there. Most
-/// statements take under 100 ms.
+/// Time without an answer to a statement after which the liveness of the server is checked. Most statements take
+/// less than 100 ms.
 pub const LIVENESS_CHECK_DELAY: Duration = Duration::from_millis(120);
-/// A statement without an answer for this long, and for this many times the server's usual time, may wait on a
-/// connection that fell silent: it no longer keeps others from their turns, and connections that were idle
-/// when it was sent are closed. Ordinary statements are over long before.
+/// Minimum time without an answer after which a statement counts as stalled. Its connection may be dead, so it no
+/// longer keeps other statements from their permits, and connections that were idle when it was sent are closed.
+/// The time must also exceed [`STALL_FACTOR`] times the usual latency of the server. Ordinary statements finish
+/// long before.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// See [`STALL_TIMEOUT`].
+/// Multiple of the server's usual latency, see [`STALL_TIMEOUT`].
 pub const STALL_FACTOR: u32 = 10;
-/// After a question has had no answer for this long, another instance is asked to put it too.
+/// Time without an answer to a status query after which another instance is asked to send it too.
 pub const RELAY_DELAY: Duration = Duration::from_millis(120);
-/// Between two tries to reach a server again that others reach.
+/// Interval between attempts to reach a server that other instances reach.
 pub const RECONNECT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Another instance that couldn't reach a server isn't asked for it again for this long.
+/// Time during which an instance that failed to reach a server is not asked for this server again.
 pub const RELAY_FAILED_BACKOFF: Duration = Duration::from_millis(1_000);
-/// How much sooner than its own caller's time ends an instance wants the answer of another: a crossing of zones
-/// both ways, and a look at the answer.
+/// Time by which the deadline of a relayed request is earlier than the caller's deadline: the network
+/// latency between zones in both directions, and the handling of the response.
 pub const RELAY_DEADLINE_MARGIN: Duration = Duration::from_millis(25);
-/// Another instance that had too much to do isn't asked for a server again for this long.
+/// Time during which an overloaded instance is not asked for a server again.
 pub const BUSY_PEER_BACKOFF: Duration = Duration::from_millis(60);
-/// Instances without a share of a server's connections that stand in where none of its homes can be reached:
-/// homes are all in the server's availability zone, and a cut may part that from the others.
+/// Number of instances without a share of a server's connections that relay statements if no home instance of the
+/// server is reachable. All home instances are in the server's availability zone, which a partition may isolate
+/// from the others.
 pub const FALLBACK_INSTANCES: usize = 3;
-/// Connections of each of these: with those that homes may keep open behind a cut, within the tenth that is
-/// left over.
+/// Connections of each fallback instance. Together with the connections that home instances may keep open behind a
+/// partition, they fit into the tenth above [`MAX_CONN_TENTHS`].
 pub const FALLBACK_CONNS: usize = 2;
-/// Most instances that are asked to put a question.
+/// Maximum number of instances that are asked to relay a status query.
 pub const MAX_RELAYS: usize = 4;
-/// Between two rounds of questions for the primary while there is none.
+/// Interval between polling rounds for the primary while none is known.
 pub const PRIMARY_POLL_INTERVAL: Duration = Duration::from_millis(60);
-/// Pause before a statement that didn't run is tried again, first and longest.
+/// Minimum and maximum backoff before the retry of a statement that was not run, in milliseconds.
 pub const RETRY_BACKOFF_MS: (u64, u64) = (4, 60);
-/// Most tries of one statement.
+/// Maximum number of attempts of one statement.
 pub const MAX_ATTEMPTS: usize = 12;
-/// The share of the objective after which a read without an answer is also sent to another server.
+/// Fraction of the latency objective after which an unanswered read is hedged: it is also sent to another server.
 pub const HEDGE_FRACTION: f64 = 0.5;
-/// A statement that takes longer at a server than this share of its route's objective is slow: the server
-/// has a queue. Work alone takes about a tenth of an objective.
+/// Fraction of the latency objective above which a statement counts as slow, a sign of queueing at the server.
+/// Execution alone takes about a tenth of an objective.
 pub const SLOW_FRACTION: f64 = 0.25;
-/// What a transaction counts among those that wait to begin, in statements: callers' have up to twelve.
+/// Cost of a transaction among those that wait to begin, in statements. Transactions of callers have up to twelve
+/// statements.
 pub const TXN_STATEMENTS: u64 = 4;
-/// When to come back after a refusal, in milliseconds.
+/// Retry delay that a refusal states, in milliseconds.
 pub const RETRY_AFTER_MS: u64 = 100;
-/// Time until the platform sends no new sessions: two misses of a question each second.
+/// Time until the platform stops sending new sessions to an unready instance: two failed readiness probes, one per
+/// second.
 pub const UNREADY_DELAY: Duration = Duration::from_millis(2_300);
-/// A read goes to a replica when it has had this many times its usual lag to catch up.
+/// Multiple of its usual lag that a replica gets to catch up before it is chosen for a read.
 pub const LAG_FACTOR: f64 = 2.0;
-/// A leaving server gets new work, where no other can do it, until this long before its time is over: the
-/// store's word may have reached this instance late, and statements take a while.
+/// Time before the end of a server's drain period from which the server gets no new work, even if no other server
+/// can do it. The notification from the store may arrive late, and statements take time.
 pub const DRAIN_MARGIN: Duration = Duration::from_millis(2_500);
-/// A server whose entry has been missing for this long is taken as gone. After an outage of the store, servers that
-/// live are listed again within two seconds.
+/// Time after which a server whose entry is missing is considered removed. After an outage of the store, live
+/// servers are listed again within two seconds.
 pub const SERVER_EXPIRY: Duration = Duration::from_millis(2_500);
-/// How long a change of primary takes at most from its first order to stop a replica to its end: 400 ms for that order, 500 ms
-/// for the record of who led, and three orders to promote with 500 ms for the answer and 1,500 ms until the server leads.
+/// Maximum duration of a failover, from the first order that stops a replica to the end: 400 ms for that order,
+/// 500 ms for the record of the leader, and three promotion orders with 500 ms for the answer and 1,500 ms until
+/// the server leads.
 pub const MAX_FAILOVER_TIME: Duration = Duration::from_millis(6_900);
-/// Named statements that a connection keeps before it is reset.
+/// Maximum number of named statements on a connection before the connection is reset.
 pub const MAX_PREPARED: usize = 256;
-/// Named statements and values that a session may have.
+/// Maximum number of named statements and values of a session.
 pub const MAX_SESSION_NAMES: usize = 1_000;
--- a/crates/engine/src/unreadable.rs
+++ b/crates/engine/src/unreadable.rs
@@ -1,23 +1,23 @@
-//! Objects of the store that can't be read, so that each is told once.
+//! Undecodable objects in the store, recorded so that each is logged only once.
 
 use {crate::ports::Collection, pondtrack_proto::Name};
 
-/// Objects that are remembered: a flood of them is told in so many lines, and takes no more memory.
-const MOST: usize = 100;
+/// Maximum number of recorded objects, which bounds log lines and memory if many objects are undecodable.
+const MAX_OBJECTS: usize = 100;
 
-/// Which objects can't be read, as of the last look.
+/// Objects that were undecodable when last read.
 #[derive(Debug, Default)]
 pub struct Unreadable {
-    /// Sorted.
+    /// Sorted by collection and name.
     known: Vec<(&'static str, Name)>,
 }
 
 impl Unreadable {
-    /// Notes an object; says whether it is to be told.
+    /// Records an object. Returns true if the object is new and should be logged.
     pub fn insert(&mut self, what: Collection, name: &Name) -> bool {
         match self.find(what, name) {
             Ok(_) => false,
-            Err(_) if self.known.len() >= MOST => false,
+            Err(_) if self.known.len() >= MAX_OBJECTS => false,
             Err(at) => {
                 self.known.insert(at, (what.into(), name.clone()));
                 true
@@ -25,7 +25,7 @@
         }
     }
 
-    /// An object can be read again.
+    /// Removes an object that is readable again.
     pub fn remove(&mut self, what: Collection, name: &Name) {
         if let Ok(at) = self.find(what, name) {
             self.known.remove(at);
@@ -34,6 +34,6 @@
 
     fn find(&self, what: Collection, name: &Name) -> Result<usize, usize> {
         let key = (<&str>::from(what), name.as_str());
-        self.known.binary_search_by(|it| (it.0, it.1.as_str()).cmp(&key))
+        self.known.binary_search_by(|entry| (entry.0, entry.1.as_str()).cmp(&key))
     }
 }
--- a/crates/engine/src/update.rs
+++ b/crates/engine/src/update.rs
@@ -1,8 +1,8 @@
-//! What instances hand each other of a collection: its difference from a version that the other one has, or the whole.
+//! Updates of a collection that instances send one another: the difference from a known version, or the whole.
 //!
-//! A change travels as what it changes: about 22 bytes for each route that changed, where the whole of 2,866 routes was
-//! 62 KB on the link. A digest of the result goes along. Where it differs the whole is fetched instead, so that a wrong
-//! difference can't be taken in.
+//! A change takes about 22 bytes for each changed route, where all 2,866 routes took 62 KB on the link. An update
+//! carries a digest of the resulting collection. If the digest differs, the whole collection is fetched instead,
+//! so that a wrong difference is never applied.
 
 use {
     crate::{
@@ -25,161 +25,163 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A collection, or a change of it.
+/// Update of a collection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Update {
-    /// The configuration.
+    /// Update of the configuration.
     #[serde(rename = "Desired")]
     Config(Box<ConfigChange>),
-    /// The directory of servers.
+    /// Update of the server directory.
     Directory {
-        /// The store's revision that it starts from; 0 for the whole.
+        /// Store revision that the difference applies to; 0 for the whole collection.
         since: u64,
-        /// The store's revision that it leads to.
+        /// Store revision of the result.
         revision: Revision,
-        /// The servers.
+        /// Changed and removed servers.
         servers: Delta<Server>,
-        /// Tells apart what it leads to.
+        /// Digest of the result.
         digest: u64,
     },
-    /// The instances that are up, sorted by name.
+    /// Live instances, sorted by name. Always the whole collection.
     Members(Vec<Member>),
 }
 
-/// A change of the configuration.
+/// Update of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigChange {
-    /// The version that it starts from; 0 for the whole.
+    /// Version that the difference applies to; 0 for the whole configuration.
     pub since: u64,
-    /// The version that it leads to.
+    /// Version of the result.
     pub version: u64,
-    /// The store's revision of that.
+    /// Store revision of the result.
     pub revision: Revision,
-    /// Routes.
+    /// Changed and removed routes.
     pub routes: Delta<Route>,
-    /// Groups.
+    /// Changed and removed groups.
     pub groups: Delta<GroupSpec>,
-    /// Organisations; none where callers are not told apart.
+    /// Changed and removed organisations; none if callers are not assigned to organisations.
     pub organisations: Option<Delta<Organisation>>,
-    /// A transaction that is idle for longer may be ended.
+    /// Idle time after which a transaction may be aborted.
     pub txn_idle: Duration,
-    /// The longest statement of a caller, in bytes.
+    /// Maximum length of a caller's statement, in bytes.
     pub message_bytes: usize,
-    /// Tells apart what it leads to.
+    /// Digest of the result.
     pub digest: u64,
 }
 
-/// Why a document isn't taken in.
+/// Reasons for rejecting an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum UpdateError {
-    /// It starts from another version than the one that is known here by now.
-    #[snafu(display("it starts from another version than the one known here"))]
-    Moved,
-    /// It leads to something else than what its sender has; the whole has to be fetched.
-    #[snafu(display("its digest differs"))]
-    Differs,
+    /// The difference applies to a version other than the current one.
+    #[snafu(display("the update applies to another version than the current one"))]
+    StaleBase,
+    /// The result differs from the sender's collection; the whole collection has to be fetched.
+    #[snafu(display("the digest of the result differs"))]
+    DigestMismatch,
 }
 
-/// Which items of the configuration and the directory changed when, as far as this instance saw it.
+/// Change history of the configuration and the directory, as observed by this instance.
 #[derive(Debug, Default)]
 pub struct History {
     routes: RefCell<ChangeLog>,
     groups: RefCell<ChangeLog>,
     organisations: RefCell<ChangeLog>,
     servers: RefCell<ChangeLog>,
-    /// The digests of the newest configuration and directory, with their versions. To encode 900 servers for one takes
-    /// 60 µs (release, one process), and each of 300 instances may ask for a difference of its own.
-    desired_digest: Cell<Option<(u64, u64)>>,
+    /// Digests of the newest configuration and directory, with their versions. Cached because the encoding of 900
+    /// servers for a digest takes 60 µs, and each of 300 instances may request a difference
+    /// of its own.
+    config_digest: Cell<Option<(u64, u64)>>,
     directory_digest: Cell<Option<(u64, u64)>>,
 }
 
-fn database(it: &Route) -> &Name {
-    &it.database
+fn route_key(route: &Route) -> &Name {
+    &route.database
 }
 
-fn group(it: &GroupSpec) -> &Name {
-    &it.name
+fn group_key(group: &GroupSpec) -> &Name {
+    &group.name
 }
 
-fn organisation(it: &Organisation) -> &Name {
-    &it.name
+fn organisation_key(organisation: &Organisation) -> &Name {
+    &organisation.name
 }
 
-fn server(it: &Server) -> &Name {
-    &it.id
+fn server_key(server: &Server) -> &Name {
+    &server.id
 }
 
 impl History {
-    /// A configuration takes the place of another.
+    /// Records that a configuration replaces another.
     pub fn record_config(&self, old: Option<&Config>, new: &Config) {
-        self.desired_digest.set(None);
-        let (routes, groups) = old.map_or((&[][..], &[][..]), |it| (&it.routes, &it.groups));
-        self.routes.borrow_mut().note(new.version, touched(routes, &new.routes, database));
-        self.groups.borrow_mut().note(new.version, touched(groups, &new.groups, group));
-        let organisations = touched(old.map_or(&[], organisations), organisations(new), organisation);
+        self.config_digest.set(None);
+        let (routes, groups) = old.map_or((&[][..], &[][..]), |c| (&c.routes, &c.groups));
+        self.routes.borrow_mut().note(new.version, touched(routes, &new.routes, route_key));
+        self.groups.borrow_mut().note(new.version, touched(groups, &new.groups, group_key));
+        let organisations = touched(old.map_or(&[], organisations), organisations(new), organisation_key);
         self.organisations.borrow_mut().note(new.version, organisations);
     }
 
-    /// A directory takes the place of another.
+    /// Records that a directory replaces another.
     pub fn record_directory(&self, old: &[Server], new: &[Server], revision: u64) {
         self.directory_digest.set(None);
-        self.servers.borrow_mut().note(revision, touched(old, new, server));
+        self.servers.borrow_mut().note(revision, touched(old, new, server_key));
     }
 }
 
 impl Update {
-    /// The version of a collection that is known here, if any is.
+    /// Returns the current version of a collection on this instance, if any.
     pub fn latest(inst: &Instance, what: Collection) -> Option<u64> {
         match what {
-            Collection::Config => inst.config().map(|it| it.version),
+            Collection::Config => inst.config().map(|c| c.version),
             Collection::Servers => inst.revision(what).map(Revision::as_u64),
-            Collection::Instances => inst.members().map(|it| members_digest(&it)),
+            Collection::Instances => inst.members().map(|m| members_digest(&m)),
             Collection::Leases | Collection::Leaders => None,
         }
     }
 
-    /// The version that a change of a collection may start from here; 0 where only the whole will do. Members always
-    /// travel whole.
-    pub fn known(inst: &Instance, what: Collection) -> u64 {
+    /// Returns the version that an update of a collection may apply to on this instance; 0 if the whole collection
+    /// is required. Members are always sent as a whole.
+    pub fn base_version(inst: &Instance, what: Collection) -> u64 {
         match what {
             Collection::Config | Collection::Servers => Update::latest(inst, what).unwrap_or(0),
             Collection::Instances | Collection::Leases | Collection::Leaders => 0,
         }
     }
 
-    /// What is known here of a collection, for an instance that has it as of `since`; none if nothing newer is known.
+    /// Builds an update for an instance that has the collection as of `since`; none if this instance has nothing
+    /// newer.
     pub fn build(inst: &Instance, what: Collection, since: u64) -> Option<Update> {
         match what {
-            Collection::Config => desired(inst, since).map(|it| Update::Config(Box::new(it))),
-            Collection::Servers => directory(inst, since),
+            Collection::Config => config_change(inst, since).map(|c| Update::Config(Box::new(c))),
+            Collection::Servers => directory_update(inst, since),
             Collection::Instances => inst.members().map(Update::Members),
             Collection::Leases | Collection::Leaders => None,
         }
     }
 
-    /// Takes it in, unless what is known here is as new.
+    /// Applies the update, unless this instance has the same or a newer version.
     ///
     /// # Errors
     ///
-    /// If it doesn't fit what is known here.
+    /// Returns an error if the update applies to another version, or if the digest of the result differs.
     pub fn apply(self, inst: &Rc<Instance>) -> Result<(), UpdateError> {
         match self {
-            Update::Config(it) => take_desired(inst, *it),
+            Update::Config(change) => apply_config(inst, *change),
             Update::Directory { since, revision, servers, digest } => {
-                let known = Update::known(inst, Collection::Servers);
+                let known = Update::base_version(inst, Collection::Servers);
                 if known >= revision.as_u64() && inst.revision(Collection::Servers).is_some() {
                     return Ok(());
                 }
-                let old = base(since, known, || inst.directory())?;
-                let servers = servers.apply(&old, server);
+                let old = base_for(since, known, || inst.directory())?;
+                let servers = servers.apply(&old, server_key);
                 if digest_of(&servers) != digest {
-                    return Err(UpdateError::Differs);
+                    return Err(UpdateError::DigestMismatch);
                 }
                 inst.set_directory(servers, revision);
                 Ok(())
             }
             Update::Members(all) => {
-                let peer = |it: Member| Peer::new(it.name, it.zone, it.addr).with_capacity(it.capacity);
+                let peer = |m: Member| Peer::new(m.name, m.zone, m.addr).with_capacity(m.capacity);
                 inst.set_peers(all.into_iter().map(peer).collect());
                 Ok(())
             }
@@ -187,29 +189,32 @@
     }
 }
 
-fn organisations(it: &Config) -> &[Organisation] {
-    it.organisations.as_ref().map_or(&[], Organisations::all)
+fn organisations(config: &Config) -> &[Organisation] {
+    config.organisations.as_ref().map_or(&[], Organisations::all)
 }
 
-fn desired(inst: &Instance, since: u64) -> Option<ConfigChange> {
-    let it = inst.config().filter(|it| it.version > since)?;
+fn config_change(inst: &Instance, since: u64) -> Option<ConfigChange> {
+    let config = inst.config().filter(|c| c.version > since)?;
     let revision = inst.revision(Collection::Config)?;
-    let log = &inst.history;
-    let logs = (log.routes.borrow(), log.groups.borrow(), log.organisations.borrow());
+    let history = &inst.history;
+    let logs = (history.routes.borrow(), history.groups.borrow(), history.organisations.borrow());
     let keys = (logs.0.since(since), logs.1.since(since), logs.2.since(since));
-    let known = organisations(&it);
+    let known = organisations(&config);
     let (since, routes, groups, changed) = match keys {
         (Some(routes), Some(groups), Some(changed)) if since > 0 => {
-            let (routes, groups) =
-                (Delta::of_keys(routes, &it.routes, database), Delta::of_keys(groups, &it.groups, group));
-            (since, routes, groups, Delta::of_keys(changed, known, organisation))
+            let (routes, groups) = (
+                Delta::of_keys(routes, &config.routes, route_key),
+                Delta::of_keys(groups, &config.groups, group_key),
+            );
+            (since, routes, groups, Delta::of_keys(changed, known, organisation_key))
         }
-        _ => (0, Delta::whole(&it.routes), Delta::whole(&it.groups), Delta::whole(known)),
+        _ => (0, Delta::whole(&config.routes), Delta::whole(&config.groups), Delta::whole(known)),
     };
-    let organisations = it.organisations.is_some().then_some(changed);
-    let digest =
-        kept(&inst.history.desired_digest, it.version, || digest_of(&(&it.routes, &it.groups, known)));
-    let (version, txn_idle, message_bytes) = (it.version, it.txn_idle, it.message_bytes);
+    let organisations = config.organisations.is_some().then_some(changed);
+    let digest = cached_digest(&inst.history.config_digest, config.version, || {
+        digest_of(&(&config.routes, &config.groups, known))
+    });
+    let (version, txn_idle, message_bytes) = (config.version, config.txn_idle, config.message_bytes);
     Some(ConfigChange {
         since,
         version,
@@ -223,65 +228,67 @@
     })
 }
 
-fn directory(inst: &Instance, since: u64) -> Option<Update> {
-    let revision = inst.revision(Collection::Servers).filter(|it| it.as_u64() > since)?;
+fn directory_update(inst: &Instance, since: u64) -> Option<Update> {
+    let revision = inst.revision(Collection::Servers).filter(|r| r.as_u64() > since)?;
     let keys = (since > 0).then(|| inst.history.servers.borrow().since(since)).flatten();
     inst.with_directory(|all| {
-        let digest = kept(&inst.history.directory_digest, revision.as_u64(), || digest_of(&all));
+        let digest = cached_digest(&inst.history.directory_digest, revision.as_u64(), || digest_of(&all));
         let (since, servers) = match keys {
-            Some(keys) => (since, Delta::of_keys(keys, all, server)),
+            Some(keys) => (since, Delta::of_keys(keys, all, server_key)),
             None => (0, Delta::whole(all)),
         };
         Some(Update::Directory { since, revision, servers, digest })
     })
 }
 
-/// A digest that is worked out once for each version.
-fn kept(cell: &Cell<Option<(u64, u64)>>, version: u64, digest: impl FnOnce() -> u64) -> u64 {
+/// Returns the cached digest of a version, or computes and caches it.
+fn cached_digest(cell: &Cell<Option<(u64, u64)>>, version: u64, digest: impl FnOnce() -> u64) -> u64 {
     match cell.get() {
-        Some((at, it)) if at == version => it,
+        Some((at, cached)) if at == version => cached,
         _ => {
-            let it = digest();
-            cell.set(Some((version, it)));
-            it
+            let computed = digest();
+            cell.set(Some((version, computed)));
+            computed
         }
     }
 }
 
-fn take_desired(inst: &Rc<Instance>, it: ConfigChange) -> Result<(), UpdateError> {
+fn apply_config(inst: &Rc<Instance>, change: ConfigChange) -> Result<(), UpdateError> {
     let known = inst.config();
-    let version = known.as_ref().map_or(0, |it| it.version);
-    if version >= it.version {
+    let version = known.as_ref().map_or(0, |c| c.version);
+    if version >= change.version {
         return Ok(());
     }
-    let old = base(it.since, version, || known.clone())?;
+    let old = base_for(change.since, version, || known.clone())?;
     let old = old.as_deref();
-    let routes = it.routes.apply(old.map_or(&[], |it| &it.routes), database);
-    let groups = it.groups.apply(old.map_or(&[], |it| &it.groups), group);
-    let changed = it.organisations.map(|it| it.apply(old.map_or(&[], organisations), organisation));
-    if digest_of(&(&routes, &groups, changed.as_deref().unwrap_or_default())) != it.digest {
-        return Err(UpdateError::Differs);
+    let routes = change.routes.apply(old.map_or(&[], |c| &c.routes), route_key);
+    let groups = change.groups.apply(old.map_or(&[], |c| &c.groups), group_key);
+    let changed =
+        change.organisations.map(|delta| delta.apply(old.map_or(&[], organisations), organisation_key));
+    if digest_of(&(&routes, &groups, changed.as_deref().unwrap_or_default())) != change.digest {
+        return Err(UpdateError::DigestMismatch);
     }
     let organisations = changed.map(Organisations::new);
-    let (version, txn_idle, message_bytes) = (it.version, it.txn_idle, it.message_bytes);
-    inst.adopt(Config { version, routes, groups, organisations, txn_idle, message_bytes }, it.revision);
+    let (version, txn_idle, message_bytes) = (change.version, change.txn_idle, change.message_bytes);
+    inst.adopt(Config { version, routes, groups, organisations, txn_idle, message_bytes }, change.revision);
     Ok(())
 }
 
-/// What a document that starts from a version is applied to: nothing for the whole, else what is known here.
-fn base<T: Default>(since: u64, known: u64, old: impl FnOnce() -> T) -> Result<T, UpdateError> {
+/// Returns the collection that a difference from `since` applies to: the default for a whole collection, the
+/// current collection otherwise.
+fn base_for<T: Default>(since: u64, known: u64, old: impl FnOnce() -> T) -> Result<T, UpdateError> {
     match since {
         0 => Ok(T::default()),
-        it if it == known => Ok(old()),
-        _ => Err(UpdateError::Moved),
+        version if version == known => Ok(old()),
+        _ => Err(UpdateError::StaleBase),
     }
 }
 
-/// Tells sets of instances apart.
+/// Returns a digest that identifies a set of instances.
 pub fn members_digest(members: &[Member]) -> u64 {
     digest_of(&members)
 }
 
-fn digest_of<T: Serialize>(it: &T) -> u64 {
-    xxh3_64(&postcard::to_stdvec(it).expect("plain data always encodes"))
+fn digest_of<T: Serialize>(value: &T) -> u64 {
+    xxh3_64(&postcard::to_stdvec(value).expect("plain data always encodes"))
 }
--- a/crates/engine/src/upload.rs
+++ b/crates/engine/src/upload.rs
@@ -1,10 +1,11 @@
-//! Documents handed to other instances, in parts, to a few at a time.
+//! Uploads of collection updates to other instances, in chunks and limited to a few at a time.
 //!
-//! Protects the instance's link, and all that shares it: beats, the store's answers, connections to servers. Without it
-//! an instance that watched the store put a copy for each of 71 others into a link of 10 Mbit/s at once, which was busy for
-//! 3.5 s; most gave up meanwhile and asked again. Now at most [`SLOTS`] parts of [`PART_BYTES`] are under way. Whoever asks
-//! meanwhile waits, and is then sent to an instance that has the document from here, so that the instances which hand it out
-//! multiply by three each round.
+//! The limit protects the link of the instance and its other uses: heartbeats, responses of the store, connections
+//! to servers. Without it, an instance that watched the store sent a copy to each of 71 others over a link of 10
+//! Mbit/s at the same time. The link was busy for 3.5 s, and most instances gave up in the meantime and asked
+//! again. Now at most [`SLOTS`] chunks of [`CHUNK_BYTES`] are in flight. An instance that asks while all slots are
+//! taken waits, and is then redirected to an instance that has already received the update, so that the number of
+//! instances that serve the update triples in each round.
 
 use {
     crate::{
@@ -26,188 +27,195 @@
     },
 };
 
-/// Documents that are handed out at the same time. With one, a link stands idle while the other side takes a part and
-/// asks for the next; more than two make all of a round late: 72 instances take about 7.8 times as long as one
-/// copy with two, 10.6 times with four (reckoned: rounds, each as long as its copies).
+/// Maximum number of concurrent uploads. With one, the link is idle while the receiver handles a chunk and
+/// requests the next. More than two delay all transfers of a round: 72 instances take about 7.8 times as long as
+/// one copy with two slots, and 10.6 times with four (calculated from rounds, each as long as its copies).
 pub const SLOTS: usize = 2;
-/// Bytes of a part: 6.5 ms of a link of 10 Mbit/s, the least that instances have today, 33 ms of one with 2 Mbit/s.
-pub const PART_BYTES: usize = 8 << 10;
-/// Documents of this size need no slot: for 71 instances at once they are 0.12 s of 10 Mbit/s.
-const FREE_BYTES: usize = 2 << 10;
-/// A slot is free again when its next part isn't asked for within this time: a part takes 33 ms at most, and a crossing of
-/// zones 3 ms.
-const SLOT_LIMIT: Duration = Duration::from_millis(400);
-/// How long a question waits for a slot, or for an instance that has the document: below the time in which a part is
-/// expected.
-const HOLD: Duration = Duration::from_millis(400);
-/// Encoded documents that are kept, each of the newest version: the configuration and the directory, from two versions each.
-const DOCS: usize = 4;
-
-/// An encoded document.
+/// Size of a chunk: 6.5 ms of a link of 10 Mbit/s, the slowest link of any instance, or 33 ms of a link of 2
+/// Mbit/s.
+pub const CHUNK_BYTES: usize = 8 << 10;
+/// Maximum size of an update that needs no slot: for 71 instances at once, 0.12 s of a link of 10 Mbit/s.
+const MAX_UNSLOTTED_BYTES: usize = 2 << 10;
+/// Idle timeout of a slot, after which it is free again: a chunk takes 33 ms at most and the network between zones
+/// 3 ms.
+const SLOT_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum time that a request waits for a slot, or for an instance that has the update. Shorter than the timeout
+/// of the receiver for a chunk.
+const MAX_WAIT: Duration = Duration::from_millis(400);
+/// Maximum number of cached encoded updates, each of the newest version: the configuration and the directory, from
+/// two base versions each.
+const MAX_CACHED: usize = 4;
+
+/// Encoded update.
 #[derive(Clone)]
-struct Doc {
+struct EncodedUpdate {
     what: Collection,
     since: u64,
     at: u64,
     bytes: Bytes,
 }
 
-/// A document on its way to another instance.
-struct Transfer {
+/// Upload in progress.
+struct Upload {
     to: Name,
-    doc: Doc,
-    asked: Micros,
+    update: EncodedUpdate,
+    last_request: Micros,
 }
 
-/// An instance that had a document from here.
-struct Given {
+/// Completed upload to an instance, which now serves the update too.
+struct Completed {
     what: Collection,
     at: u64,
     to: Name,
-    /// Its availability zone, if it is known.
+    /// Availability zone of the instance, if known.
     zone: Option<Name>,
 }
 
-/// What is being handed out, and who has it.
+/// Uploads in progress, and the instances that have received an update.
 #[derive(Default)]
 pub struct Uploads {
-    docs: RefCell<Vec<Doc>>,
-    transfers: RefCell<Vec<Transfer>>,
-    /// The newest version of each collection only.
-    given: RefCell<Vec<Given>>,
-    /// Counts those who were sent to others, so that they are spread evenly.
-    sent_on: Cell<usize>,
-    /// Woken when a document has been handed out.
-    freed: Notify,
+    cache: RefCell<Vec<EncodedUpdate>>,
+    active: RefCell<Vec<Upload>>,
+    /// Completed uploads of the newest version of each collection.
+    completed: RefCell<Vec<Completed>>,
+    /// Number of redirects, by which redirects are spread evenly over the instances.
+    redirects: Cell<usize>,
+    /// Notified when an upload is complete.
+    completion: Notify,
 }
 
-/// Answers an instance that wants what is known here of a collection.
-pub async fn answer(inst: &Instance, it: FetchRequest) -> Response {
-    let handout = &inst.uploads;
-    let told = match it.next {
-        Some((at, offset)) => handout.go_on(inst, &it, at, offset as usize),
-        None => begin(inst, &it).await,
+/// Answers a request of another instance for a collection.
+pub async fn answer(inst: &Instance, request: FetchRequest) -> Response {
+    let uploads = &inst.uploads;
+    let response = match request.next {
+        Some((at, offset)) => uploads.next_chunk(inst, &request, at, offset as usize),
+        None => begin(inst, &request).await,
     };
-    if let Response::Chunk(part) = &told {
-        inst.counters.add(Count::SpreadBytes, part.bytes.len() as u64);
+    if let Response::Chunk(chunk) = &response {
+        inst.counters.add(Count::SpreadBytes, chunk.bytes.len() as u64);
     }
-    told
+    response
 }
 
-async fn begin(inst: &Instance, it: &FetchRequest) -> Response {
-    let handout = &inst.uploads;
-    let end = Instant::now() + HOLD;
+async fn begin(inst: &Instance, request: &FetchRequest) -> Response {
+    let uploads = &inst.uploads;
+    let deadline = Instant::now() + MAX_WAIT;
     loop {
-        let Some(doc) = handout.doc(inst, it) else {
+        let Some(update) = uploads.encoded(inst, request) else {
             return Response::NotSent("nothing newer is known here".to_owned());
         };
-        // Registered before the slots are looked at, so that none is missed.
-        let freed = handout.freed.notified();
-        if doc.bytes.len() <= FREE_BYTES || handout.take_slot(inst, it, &doc) {
-            return Response::Chunk(part(&doc, 0));
+        // Registered before the slots are checked, so that no notification is missed.
+        let completion = uploads.completion.notified();
+        if update.bytes.len() <= MAX_UNSLOTTED_BYTES || uploads.take_slot(inst, request, &update) {
+            return Response::Chunk(chunk(&update, 0));
         }
-        if let Some(name) = handout.other(inst, it, &doc) {
+        if let Some(name) = uploads.redirect(inst, request, &update) {
             return Response::Elsewhere(Some(name));
         }
-        if timeout_at(end, freed).await.is_err() {
+        if timeout_at(deadline, completion).await.is_err() {
             return Response::Elsewhere(None);
         }
     }
 }
 
 impl Uploads {
-    /// The document for an instance that has a collection as of a version; none if nothing newer is known here.
-    fn doc(&self, inst: &Instance, it: &FetchRequest) -> Option<Doc> {
-        let (what, since) = (it.what, it.since);
+    /// Returns the encoded update for an instance; none if this instance has nothing newer.
+    fn encoded(&self, inst: &Instance, request: &FetchRequest) -> Option<EncodedUpdate> {
+        let (what, since) = (request.what, request.since);
         let at = Update::latest(inst, what)?;
-        let mut docs = self.docs.borrow_mut();
-        docs.retain(|it| it.what != what || it.at == at);
-        let kept = docs.iter().find(|it| (it.what, it.since, it.at) == (what, since, at));
-        if let Some(doc) = kept {
-            return Some(doc.clone());
+        let mut cache = self.cache.borrow_mut();
+        cache.retain(|u| u.what != what || u.at == at);
+        let cached = cache.iter().find(|u| (u.what, u.since, u.at) == (what, since, at));
+        if let Some(update) = cached {
+            return Some(update.clone());
         }
-        let doc = Update::build(inst, what, since)?;
-        let bytes = postcard::to_stdvec(&doc).expect("documents are plain data, which always encodes").into();
-        let doc = Doc { what, since, at, bytes };
-        docs.truncate(DOCS - 1);
-        docs.insert(0, doc.clone());
-        Some(doc)
+        let update = Update::build(inst, what, since)?;
+        let bytes =
+            postcard::to_stdvec(&update).expect("updates are plain data, which always encodes").into();
+        let update = EncodedUpdate { what, since, at, bytes };
+        cache.truncate(MAX_CACHED - 1);
+        cache.insert(0, update.clone());
+        Some(update)
     }
 
-    /// Takes a slot for a document of more than one part, if there is one.
-    fn take_slot(&self, inst: &Instance, it: &FetchRequest, doc: &Doc) -> bool {
+    /// Takes a slot for an update that needs one. Returns false if none is free.
+    fn take_slot(&self, inst: &Instance, request: &FetchRequest, update: &EncodedUpdate) -> bool {
         let now = inst.now();
-        let mut transfers = self.transfers.borrow_mut();
-        transfers.retain(|old| now.saturating_sub(old.asked) < micros(SLOT_LIMIT) && !old.is_of(it));
-        if transfers.len() >= SLOTS {
+        let mut active = self.active.borrow_mut();
+        active.retain(|old| {
+            now.saturating_sub(old.last_request) < micros(SLOT_IDLE_TIMEOUT) && !old.is_for(request)
+        });
+        if active.len() >= SLOTS {
             return false;
         }
-        transfers.push(Transfer { to: it.from.clone(), doc: doc.clone(), asked: now });
-        drop(transfers);
-        if doc.bytes.len() <= PART_BYTES {
-            self.finish(inst, it);
+        active.push(Upload { to: request.from.clone(), update: update.clone(), last_request: now });
+        drop(active);
+        if update.bytes.len() <= CHUNK_BYTES {
+            self.finish(inst, request);
         }
         true
     }
 
-    /// The next part of a document that was begun.
-    fn go_on(&self, inst: &Instance, it: &FetchRequest, at: u64, offset: usize) -> Response {
-        let mut transfers = self.transfers.borrow_mut();
-        let known = transfers.iter_mut().find(|old| old.is_of(it) && old.doc.at == at);
-        let Some(transfer) = known.filter(|it| offset < it.doc.bytes.len()) else {
-            return Response::NotSent("the transfer was given up here".to_owned());
+    /// Returns the next chunk of an upload in progress.
+    fn next_chunk(&self, inst: &Instance, request: &FetchRequest, at: u64, offset: usize) -> Response {
+        let mut active = self.active.borrow_mut();
+        let known = active.iter_mut().find(|u| u.is_for(request) && u.update.at == at);
+        let Some(upload) = known.filter(|u| offset < u.update.bytes.len()) else {
+            return Response::NotSent("the upload was aborted here".to_owned());
         };
-        transfer.asked = inst.now();
-        let part = part(&transfer.doc, offset);
-        let last = offset + part.bytes.len() == part.total as usize;
-        drop(transfers);
+        upload.last_request = inst.now();
+        let chunk = chunk(&upload.update, offset);
+        let last = offset + chunk.bytes.len() == chunk.total as usize;
+        drop(active);
         if last {
-            self.finish(inst, it);
+            self.finish(inst, request);
         }
-        Response::Chunk(part)
+        Response::Chunk(chunk)
     }
 
-    /// Frees the slot of a transfer whose last part has gone out.
-    fn finish(&self, inst: &Instance, it: &FetchRequest) {
-        let mut transfers = self.transfers.borrow_mut();
-        let Some(at) = transfers.iter().position(|old| old.is_of(it)) else { return };
-        let Transfer { to, doc, .. } = transfers.remove(at);
-        let mut given = self.given.borrow_mut();
-        given.retain(|old| old.what != doc.what || (old.at == doc.at && old.to != to));
-        given.push(Given { what: doc.what, at: doc.at, zone: zone(inst, &to), to });
-        self.freed.notify_waiters();
+    /// Frees the slot of an upload whose last chunk was sent.
+    fn finish(&self, inst: &Instance, request: &FetchRequest) {
+        let mut active = self.active.borrow_mut();
+        let Some(at) = active.iter().position(|u| u.is_for(request)) else { return };
+        let Upload { to, update, .. } = active.remove(at);
+        let mut completed = self.completed.borrow_mut();
+        completed.retain(|old| old.what != update.what || (old.at == update.at && old.to != to));
+        completed.push(Completed { what: update.what, at: update.at, zone: zone(inst, &to), to });
+        self.completion.notify_waiters();
     }
 
-    /// An instance that has the document from here: in the asking one's availability zone, if there is one.
-    fn other(&self, inst: &Instance, it: &FetchRequest, doc: &Doc) -> Option<Name> {
-        let given = self.given.borrow();
-        let has = given.iter().filter(|old| (old.what, old.at) == (doc.what, doc.at) && old.to != it.from);
-        let own = zone(inst, &it.from);
-        let (near, far): (Vec<&Given>, Vec<&Given>) = has.partition(|it| it.zone == own);
-        let from = if near.is_empty() { far } else { near };
-        let n = self.sent_on.replace(self.sent_on.get().wrapping_add(1));
-        from.get(n.checked_rem(from.len())?).map(|it| it.to.clone())
+    /// Returns an instance that has received the update, preferably in the availability zone of the requesting
+    /// instance.
+    fn redirect(&self, inst: &Instance, request: &FetchRequest, update: &EncodedUpdate) -> Option<Name> {
+        let completed = self.completed.borrow();
+        let sources =
+            completed.iter().filter(|c| (c.what, c.at) == (update.what, update.at) && c.to != request.from);
+        let own = zone(inst, &request.from);
+        let (local, remote): (Vec<&Completed>, Vec<&Completed>) = sources.partition(|c| c.zone == own);
+        let preferred = if local.is_empty() { remote } else { local };
+        let n = self.redirects.replace(self.redirects.get().wrapping_add(1));
+        preferred.get(n.checked_rem(preferred.len())?).map(|c| c.to.clone())
     }
 }
 
-/// An instance's availability zone, if the instance is known.
+/// Returns the availability zone of an instance, if the instance is known.
 fn zone(inst: &Instance, name: &Name) -> Option<Name> {
-    inst.peer(name).map(|it| it.zone.clone())
+    inst.peer(name).map(|p| p.zone.clone())
 }
 
-impl Transfer {
-    /// Whether a question is about it.
-    fn is_of(&self, it: &FetchRequest) -> bool {
-        self.to == it.from && self.doc.what == it.what
+impl Upload {
+    /// Returns true if a request continues or repeats this upload.
+    fn is_for(&self, request: &FetchRequest) -> bool {
+        self.to == request.from && self.update.what == request.what
     }
 }
 
-fn part(doc: &Doc, offset: usize) -> Chunk {
-    let end = (offset + PART_BYTES).min(doc.bytes.len());
+fn chunk(update: &EncodedUpdate, offset: usize) -> Chunk {
+    let end = (offset + CHUNK_BYTES).min(update.bytes.len());
     Chunk {
-        at: doc.at,
-        total: doc.bytes.len() as u32,
+        at: update.at,
+        total: update.bytes.len() as u32,
         offset: offset as u32,
-        bytes: doc.bytes.slice(offset..end),
+        bytes: update.bytes.slice(offset..end),
     }
 }
--- a/crates/engine/src/watcher.rs
+++ b/crates/engine/src/watcher.rs
@@ -1,4 +1,5 @@
-//! The configuration and the directory of servers, kept up to date from the store.
+//! Synchronisation of the configuration and the server directory with the store, and the registration of this
+//! instance.
 
 use {
     crate::{
@@ -16,62 +17,64 @@
     tokio::time::{Instant, sleep},
 };
 
-/// Pause after a failed call, shortest and its spread in milliseconds: the store refuses at most for
-/// seconds, and each call has its price.
-const PAUSE: (u64, u64) = (150, 150);
-/// The same for an instance that only reads the store because nobody tells it what is there. It doubles with
-/// each failure up to the third: those that watch for all find out first that the store is back.
-const LONG_PAUSE: (u64, u64) = (900, 900);
-/// The most doublings: a change has to be in force 3,000 ms after the store was well for 4,000 ms.
-const DOUBLINGS: u32 = 2;
-/// Between two looks whether the store has to be watched.
-const IDLE: Duration = Duration::from_millis(250);
-/// Between two looks for servers that have left.
-const SWEEP: Duration = Duration::from_millis(500);
-/// A process that finds the entry of an earlier one of its name, which says the same, writes it again within this time, in
-/// milliseconds: where all start at once, they don't all write at once.
-const ENTRY_SPREAD: u64 = 10_000;
-/// Between two looks at the entries of all instances, which are read at a tenth of the price.
-const LOOK: Duration = Duration::from_millis(3_000);
-/// The same after the start, when the others come up as well.
-const FIRST_LOOK: Duration = Duration::from_millis(1_000);
-/// How many looks of this kind there are.
-const FIRST_LOOKS: u64 = 3;
-/// After the store came back from an older copy, instances whose entries it lacks count for as long as this: they write them
-/// again within a look of theirs.
-const REWRITE: Duration = Duration::from_millis(6_000);
+/// Minimum backoff after a failed call and its jitter, in milliseconds. The store refuses calls for seconds at
+/// most, and each call has a cost.
+const BACKOFF: (u64, u64) = (150, 150);
+/// Backoff of an instance that reads the store only because it receives no heartbeats. The minimum doubles with
+/// each failure up to the third, so that the watchers are the first to find out that the store is available again.
+const FALLBACK_BACKOFF: (u64, u64) = (900, 900);
+/// Maximum number of doublings. A change has to be in effect 3,000 ms after the store has been available for 4,000
+/// ms.
+const MAX_DOUBLINGS: u32 = 2;
+/// Interval between checks if this instance has to watch the store.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between checks for removed servers.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum delay before a restarted instance rewrites the entry of its earlier process if the content is the same,
+/// in milliseconds. The delay is random, so that instances that start together don't all write at once.
+const MAX_REWRITE_DELAY: u64 = 10_000;
+/// Interval between polls of the entries of all instances. A stale list costs a tenth of a fresh one.
+const POLL_INTERVAL: Duration = Duration::from_millis(3_000);
+/// Interval between the first polls after the start, while other instances start as well.
+const FIRST_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Number of polls with the shorter interval.
+const FIRST_POLLS: u64 = 3;
+/// Time after a restore of the store during which instances without an entry still count as live. They rewrite
+/// their entries within one of their polls.
+const RESTORE_GRACE: Duration = Duration::from_millis(6_000);
 
-/// Keeps a collection up to date while this instance has to watch the store itself, for good.
+/// Keeps a collection in sync with the store while this instance has to watch the store; never returns.
 pub async fn run(inst: Rc<Instance>, what: Collection) {
     let mut failures = 0;
-    // The revision after which changes are wanted; none when everything has to be read.
+    // Revision after which to watch for changes; none if the whole collection has to be read.
     let mut since: Option<Revision> = None;
     loop {
-        // At the start it reads the whole in any case.
+        // Reads the whole collection at the start in any case.
         if !inst.distribution.must_watch(&inst) && inst.revision(what).is_some() {
             since = None;
-            sleep(IDLE).await;
+            sleep(CHECK_INTERVAL).await;
             continue;
         }
         let asked = inst.now();
-        let got = match since {
+        let result = match since {
             None => inst.adapters.store.list(what, false).await,
             Some(at) => inst.adapters.store.watch(what, at, watch_limit(&inst)).await,
         };
         inst.counters.increment(Count::StoreCalls);
-        inst.distribution.record_call(what, got.is_ok());
-        match got {
-            Ok(it) => {
+        inst.distribution.record_call(what, result.is_ok());
+        match result {
+            Ok(objects) => {
                 if std::mem::take(&mut failures) > 0 {
                     log::info!(collection:% = what; "store regained");
                 }
-                let as_of = it.as_of;
-                if since.is_some_and(|it| it.era() < as_of.era()) {
-                    // It came back from an older copy: what was undone by that is no change since then.
+                let as_of = objects.as_of;
+                if since.is_some_and(|r| r.era() < as_of.era()) {
+                    // The store was restored from an older copy. The changes undone by the restore don't appear as
+                    // changes since the revision.
                     since = None;
                     continue;
                 }
-                take(&inst, what, it, since.is_none());
+                apply(&inst, what, objects, since.is_none());
                 if what == Collection::Config {
                     inst.confirm_config(asked);
                 }
@@ -83,80 +86,81 @@
                 if failures == 0 {
                     log::warn!(collection:% = what; "store lost: {e}");
                 }
-                let (least, spread) = match inst.distribution.is_watcher(&inst) {
-                    true => PAUSE,
-                    false => (LONG_PAUSE.0 << failures.min(DOUBLINGS), LONG_PAUSE.1),
+                let (min, jitter) = match inst.distribution.is_watcher(&inst) {
+                    true => BACKOFF,
+                    false => (FALLBACK_BACKOFF.0 << failures.min(MAX_DOUBLINGS), FALLBACK_BACKOFF.1),
                 };
                 failures += 1;
-                sleep(Duration::from_millis(least + inst.random(spread))).await;
+                sleep(Duration::from_millis(min + inst.random(jitter))).await;
             }
         }
     }
 }
 
-/// The longest wait of one watch.
+/// Returns the maximum duration of one watch call.
 fn watch_limit(inst: &Instance) -> Duration {
     let bounds = inst.bounds.get();
     cadence::watch(bounds.apply, bounds.revoke)
 }
 
-/// Takes objects in; `whole` says that whatever isn't among them doesn't exist.
-fn take(inst: &Rc<Instance>, what: Collection, objects: Objects, whole: bool) {
+/// Applies objects of a collection. With `whole`, objects that are not listed don't exist.
+fn apply(inst: &Rc<Instance>, what: Collection, objects: Objects, whole: bool) {
     let as_of = objects.as_of;
-    // Another instance may have told of a later state while this answer was under way.
-    let is_old = inst.revision(what).is_some_and(|it| it > as_of);
+    // Another instance may have delivered a later state while this call was in progress.
+    let is_outdated = inst.revision(what).is_some_and(|r| r > as_of);
     let old = inst.directory();
     let mut servers = if whole { Vec::new() } else { old.clone() };
-    for it in objects.items {
-        match it.record {
-            Some(Record::Config(desired)) => inst.adopt(desired, as_of),
+    for object in objects.items {
+        match object.record {
+            Some(Record::Config(config)) => inst.adopt(config, as_of),
             Some(Record::Server(server)) => {
-                inst.unreadable.borrow_mut().remove(what, &it.name);
+                inst.unreadable.borrow_mut().remove(what, &object.name);
                 put(&mut servers, server);
             }
             Some(Record::Unreadable(why)) => {
-                inst.note_unreadable(what, &it.name, &why);
-                // It names no server, also where it replaces an entry that did.
-                servers.retain(|old| old.id != it.name);
+                inst.note_unreadable(what, &object.name, &why);
+                // An unreadable object describes no server, even if it replaces an entry that did.
+                servers.retain(|old| old.id != object.name);
             }
             Some(Record::Instance(_) | Record::Lease(_) | Record::Leader(_)) => {}
             None => {
-                inst.unreadable.borrow_mut().remove(what, &it.name);
-                servers.retain(|old| old.id != it.name);
+                inst.unreadable.borrow_mut().remove(what, &object.name);
+                servers.retain(|old| old.id != object.name);
             }
         }
     }
-    if what == Collection::Servers && !is_old && (servers != old || inst.revision(what).is_none()) {
+    if what == Collection::Servers && !is_outdated && (servers != old || inst.revision(what).is_none()) {
         inst.set_directory(servers, as_of);
     }
 }
 
 fn put(servers: &mut Vec<Server>, server: Server) {
-    match servers.binary_search_by(|it| it.id.cmp(&server.id)) {
+    match servers.binary_search_by(|s| s.id.cmp(&server.id)) {
         Ok(at) => servers[at] = server,
         Err(at) => servers.insert(at, server),
     }
 }
 
-/// Looks for servers that have left, and closes connections that are not needed.
+/// Removes servers that have left, and closes unneeded connections; never returns.
 pub async fn sweep(inst: Rc<Instance>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
         let limit = inst.now().saturating_sub(micros(SERVER_EXPIRY));
         for group in inst.groups() {
             for id in group.expire(limit) {
                 log::info!(group = group.name.as_str(), server = id.as_str(); "server gone");
             }
-            // Who comes to change its primary has to know by then whether a replica that came back has caught up.
+            // Before a failover of this group, an instance that may lead it has to know if a replica that came
+            // back has caught up.
             if group.unrecovered().is_some() && is_candidate(&inst) {
-                group.ask_all(inst.now().saturating_sub(micros(SWEEP)));
+                group.ask_all(inst.now().saturating_sub(micros(SWEEP_INTERVAL)));
             }
-            for it in group.servers().into_iter().filter(|it| it.pool.is_open()) {
-                // What this instance may keep shrinks as others come.
-                inst.place(&it);
-                it.pool.trim(
+            for server in group.servers().into_iter().filter(|s| s.pool.is_open()) {
+                // The share of this instance shrinks as other instances join.
+                inst.place(&server);
+                server.pool.trim(
                     Instant::now(),
-                    it.entry().draining && group.servers().len() > 1 && !is_primary(&group, it.index),
+                    server.entry().draining && group.servers().len() > 1 && !is_primary(&group, server.index),
                 );
             }
         }
@@ -164,92 +168,91 @@
 }
 
 fn is_primary(group: &crate::group::Group, index: usize) -> bool {
-    group.primary().is_some_and(|it| it.index == index)
+    group.primary().is_some_and(|s| s.index == index)
 }
 
-/// Writes this instance's entry now and then, and counts the others: at the start, and as long as it watches the
-/// store. Else those that watch tell.
+/// Registers this instance in the store, renews its entry, and polls the entries of other instances at the start
+/// and while it watches the store; never returns. Otherwise the watchers deliver the list of instances.
 pub async fn register(inst: Rc<Instance>) {
     let mut entry = Entry::default();
     let mut known: Vec<(Name, Revision, u64)> = Vec::new();
-    let mut look = 0;
+    let mut poll = 0;
     let mut era = (None, 0);
     loop {
-        // An earlier process of the same name has most probably left an entry, which a look shows.
-        let unread = look == 0 && !inst.settings.first_start;
-        let has_others = inst.peers().is_some_and(|it| !it.is_empty());
-        if !unread {
-            entry.keep(&inst, has_others).await;
+        // An earlier process of the same name has probably left an entry, which the first poll finds.
+        let defer_write = poll == 0 && !inst.settings.first_start;
+        let has_others = inst.peers().is_some_and(|p| !p.is_empty());
+        if !defer_write {
+            entry.renew(&inst, has_others).await;
         }
         if inst.era() > era.0 {
             era = (inst.era(), inst.now());
         }
-        if look < FIRST_LOOKS || inst.distribution.must_watch(&inst) {
-            look += 1;
+        if poll < FIRST_POLLS || inst.distribution.must_watch(&inst) {
+            poll += 1;
             inst.counters.increment(Count::StoreCalls);
             match inst.adapters.store.list(Collection::Instances, true).await {
-                Ok(it) => {
-                    entry.find(&inst, &it.items);
-                    let mut peers = live(&mut known, &it.items, look);
-                    if inst.now() - era.1 < micros(REWRITE) {
-                        keep_others(&inst, &mut peers);
+                Ok(objects) => {
+                    entry.adopt(&inst, &objects.items);
+                    let mut peers = live_peers(&mut known, &objects.items, poll);
+                    if inst.now() - era.1 < micros(RESTORE_GRACE) {
+                        add_known(&inst, &mut peers);
                     }
                     inst.set_peers(peers);
                 }
                 Err(e) => log::debug!("instances: {e}"),
             }
         }
-        if unread {
-            entry.keep(&inst, has_others).await;
+        if defer_write {
+            entry.renew(&inst, has_others).await;
         }
-        let pause = if look < FIRST_LOOKS { FIRST_LOOK } else { LOOK };
-        sleep(pause + Duration::from_millis(inst.random(500))).await;
+        let interval = if poll < FIRST_POLLS { FIRST_POLL_INTERVAL } else { POLL_INTERVAL };
+        sleep(interval + Duration::from_millis(inst.random(500))).await;
     }
 }
 
-/// This instance's own entry.
+/// Entry of this instance in the store.
 #[derive(Default)]
 struct Entry {
     revision: Option<Revision>,
     written: Option<Instant>,
-    /// Until when the entry of an earlier process will do.
-    due: Option<Instant>,
+    /// Time until which the entry of an earlier process remains valid.
+    valid_until: Option<Instant>,
 }
 
 impl Entry {
-    /// Takes in what an earlier process of the same name has left.
-    fn find(&mut self, inst: &Instance, items: &[Object]) {
+    /// Adopts the entry of an earlier process of the same name.
+    fn adopt(&mut self, inst: &Instance, items: &[Object]) {
         if self.revision.is_some() {
             return;
         }
-        let Some(it) = items.iter().find(|it| it.name == inst.settings.name) else { return };
-        self.revision = Some(it.revision);
+        let Some(object) = items.iter().find(|o| o.name == inst.settings.name) else { return };
+        self.revision = Some(object.revision);
         let own = &inst.settings;
-        let says_the_same = |it: &InstanceRecord| {
-            it.zone == own.zone && it.addr == own.peer_addr && it.capacity == own.capacity
-        };
-        let same = |it: &Record| matches!(it, Record::Instance(it) if says_the_same(it));
-        if it.record.as_ref().is_some_and(same) {
-            self.due = Some(Instant::now() + Duration::from_millis(inst.random(ENTRY_SPREAD)));
+        let has_same_content =
+            |r: &InstanceRecord| r.zone == own.zone && r.addr == own.peer_addr && r.capacity == own.capacity;
+        let is_same = |record: &Record| matches!(record, Record::Instance(r) if has_same_content(r));
+        if object.record.as_ref().is_some_and(is_same) {
+            self.valid_until = Some(Instant::now() + Duration::from_millis(inst.random(MAX_REWRITE_DELAY)));
         }
     }
 
-    /// Whether the entry is there and needn't be written yet.
+    /// Returns true if the entry exists and need not be rewritten yet.
     fn is_fresh(&self, inst: &Instance) -> bool {
-        // Where the store came back from an older copy, it may not be there any longer.
-        let known = self.revision.is_some_and(|it| inst.era().is_none_or(|era| era <= it.era()));
-        let heartbeat = cadence::heartbeat(inst.peers().map_or(0, |it| it.len()) + 1);
+        // The entry may be missing after a restore of the store from an older copy.
+        let known = self.revision.is_some_and(|r| inst.era().is_none_or(|era| era <= r.era()));
+        let heartbeat = cadence::heartbeat(inst.peers().map_or(0, |p| p.len()) + 1);
         let written = self.written.is_some_and(|at| at.elapsed() < heartbeat);
-        known && (written || self.due.is_some_and(|it| Instant::now() < it))
+        known && (written || self.valid_until.is_some_and(|t| Instant::now() < t))
     }
 
-    /// Writes the entry if a heartbeat is due. `has_others` says that this instance knew others before it could tell them
-    /// of itself.
-    async fn keep(&mut self, inst: &Instance, has_others: bool) {
+    /// Writes the entry if a heartbeat is due. `has_others` states that this instance already knew other instances
+    /// before it could register.
+    async fn renew(&mut self, inst: &Instance, has_others: bool) {
         if self.is_fresh(inst) {
             return;
         }
-        // Once more if an earlier process of the same name has left an entry.
+        // Retries once if an earlier process of the same name has left an entry.
         for _ in 0..2 {
             let record = InstanceRecord {
                 beat: inst.now(),
@@ -263,15 +266,15 @@
             let store = &inst.adapters.store;
             let put = store.put(Collection::Instances, name, Record::Instance(record), self.revision);
             match put.await {
-                Ok(it) => {
+                Ok(revision) => {
                     if is_new && has_others {
                         inst.limit.set_new();
                     }
-                    self.revision = Some(it);
+                    self.revision = Some(revision);
                     self.written = Some(Instant::now());
                     return;
                 }
-                Err(StoreError::Conflict { current }) => self.revision = current.map(|it| it.revision),
+                Err(StoreError::Conflict { current }) => self.revision = current.map(|o| o.revision),
                 Err(StoreError::Missing) => self.revision = None,
                 Err(e) => return log::debug!("heartbeat: {e}"),
             }
@@ -279,33 +282,34 @@
     }
 }
 
-/// Adds the instances that are known already.
-fn keep_others(inst: &Instance, peers: &mut Vec<Peer>) {
-    for it in inst.peers().into_iter().flatten() {
-        if let Err(at) = peers.binary_search_by(|peer| peer.name.cmp(&it.name)) {
-            let peer = Peer::new(it.name.clone(), it.zone.clone(), it.addr);
-            peers.insert(at, peer.with_capacity(it.capacity));
+/// Adds the known instances that the list lacks.
+fn add_known(inst: &Instance, peers: &mut Vec<Peer>) {
+    for known in inst.peers().into_iter().flatten() {
+        if let Err(at) = peers.binary_search_by(|peer| peer.name.cmp(&known.name)) {
+            let peer = Peer::new(known.name.clone(), known.zone.clone(), known.addr);
+            peers.insert(at, peer.with_capacity(known.capacity));
         }
     }
 }
 
-/// The instances whose entries changed lately; `known` holds names, revisions and when they were new.
-fn live(known: &mut Vec<(Name, Revision, u64)>, items: &[Object], look: u64) -> Vec<Peer> {
-    known.retain(|it| items.iter().any(|item| item.name == it.0));
-    let lapse = cadence::lapse(items.len(), LOOK);
+/// Returns the instances whose entries changed recently. `known` holds names, revisions and the poll at which each
+/// revision was first seen.
+fn live_peers(known: &mut Vec<(Name, Revision, u64)>, items: &[Object], poll: u64) -> Vec<Peer> {
+    known.retain(|entry| items.iter().any(|item| item.name == entry.0));
+    let expiry = cadence::lapse(items.len(), POLL_INTERVAL);
     let mut peers = Vec::new();
     for item in items {
-        let at = known.binary_search_by(|it| it.0.cmp(&item.name)).unwrap_or_else(|at| {
-            known.insert(at, (item.name.clone(), Revision::default(), look));
+        let at = known.binary_search_by(|entry| entry.0.cmp(&item.name)).unwrap_or_else(|at| {
+            known.insert(at, (item.name.clone(), Revision::default(), poll));
             at
         });
         if known[at].1 != item.revision {
-            known[at] = (item.name.clone(), item.revision, look);
+            known[at] = (item.name.clone(), item.revision, poll);
         }
         match &item.record {
-            Some(Record::Instance(it)) if look - known[at].2 < lapse => {
-                let peer = Peer::new(item.name.clone(), it.zone.clone(), it.addr);
-                peers.push(peer.with_capacity(it.capacity));
+            Some(Record::Instance(record)) if poll - known[at].2 < expiry => {
+                let peer = Peer::new(item.name.clone(), record.zone.clone(), record.addr);
+                peers.push(peer.with_capacity(record.capacity));
             }
             _ => {}
         }
@@ -314,10 +318,10 @@
     peers
 }
 
-/// Removes this instance's entry.
+/// Removes the entry of this instance.
 pub async fn deregister(inst: &Instance) {
     inst.counters.increment(Count::StoreCalls);
     if let Err(e) = inst.adapters.store.remove(Collection::Instances, inst.settings.name.clone()).await {
-        log::warn!("the entry of this instance stays: {e}");
+        log::warn!("could not remove the entry of this instance: {e}");
     }
 }
--- a/crates/pondtrackd/src/hosted.rs
+++ b/crates/pondtrackd/src/hosted.rs
@@ -147,7 +147,7 @@
     if timeout(FAREWELL, farewell).await.is_err() {
         log::warn!(step = "end"; "what this instance held in the store was not given up in time");
     }
-    report::line(&inst);
+    report::log_report(&inst);
     log::info!(instance = boot.name.as_str(), sessions = inst.sessions.get(); "down");
     Ok(())
 }
