--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -231,7 +231,7 @@
             owner: self.owner.clone(),
             values: it.values.map(|it| it.to_vec()).unwrap_or_default(),
             named: it.named.cloned(),
-            what,
+            command: what,
         };
         self.asked = true;
         let told = self.ask(Request::Run(Box::new(run)), it.progress).await;
--- a/crates/engine/src/count.rs
+++ b/crates/engine/src/count.rs
@@ -117,15 +117,15 @@
 
 impl Counters {
     /// Increments a counter by one.
-    pub fn increment(&self, what: Count) {
-        self.add(what, 1);
+    pub fn increment(&self, counter: Count) {
+        self.add(counter, 1);
     }
 
     /// Adds `n` to a counter.
-    pub fn add(&self, what: Count, n: u64) {
+    pub fn add(&self, counter: Count, n: u64) {
         let mut counts = self.counts.borrow_mut();
-        let at = counts.binary_search_by_key(&what, |entry| entry.0).unwrap_or_else(|at| {
-            counts.insert(at, (what, 0, metrics::counter!(format!("pondtrack_engine_{what}_total"))));
+        let at = counts.binary_search_by_key(&counter, |entry| entry.0).unwrap_or_else(|at| {
+            counts.insert(at, (counter, 0, metrics::counter!(format!("pondtrack_engine_{counter}_total"))));
             at
         });
         counts[at].1 += n;
@@ -133,9 +133,9 @@
     }
 
     /// Returns the value of a counter.
-    pub fn get(&self, what: Count) -> u64 {
+    pub fn get(&self, counter: Count) -> u64 {
         let counts = self.counts.borrow();
-        counts.binary_search_by_key(&what, |entry| entry.0).map_or(0, |at| counts[at].1)
+        counts.binary_search_by_key(&counter, |entry| entry.0).map_or(0, |at| counts[at].1)
     }
 
     /// Records the latency of a statement, in seconds.
--- a/crates/engine/src/distribution.rs
+++ b/crates/engine/src/distribution.rs
@@ -94,9 +94,9 @@
     }
 
     /// Records the success of a call of the store for a collection.
-    pub fn record_call(&self, what: Collection, ok: bool) {
+    pub fn record_call(&self, collection: Collection, ok: bool) {
         let (config, servers) = self.call_results.get();
-        self.call_results.set(match what {
+        self.call_results.set(match collection {
             Collection::Config => (ok, servers),
             _ => (config, ok),
         });
@@ -145,13 +145,13 @@
     }
 
     fn heartbeat(&self, inst: &Instance) -> Option<Heartbeat> {
-        let (desired, directory) = (inst.revision(Collection::Config)?, inst.revision(Collection::Servers)?);
+        let (config, directory) = (inst.revision(Collection::Config)?, inst.revision(Collection::Servers)?);
         let version = inst.config()?.version;
         let watching = self.call_results.get() == (true, true);
         let from = inst.settings.name.clone();
         let members = members_digest(&inst.members()?);
         let announces = self.is_watcher(inst) && inst.leaving().is_none();
-        announces.then_some(Heartbeat { from, version, desired, directory, members, watching })
+        announces.then_some(Heartbeat { from, version, config, directory, members, watching })
     }
 }
 
@@ -184,7 +184,7 @@
 pub async fn on_heartbeat(inst: Rc<Instance>, heartbeat: Heartbeat) {
     let distribution = &inst.distribution;
     let now = inst.now();
-    inst.hear_era(heartbeat.desired.max(heartbeat.directory));
+    inst.hear_era(heartbeat.config.max(heartbeat.directory));
     if heartbeat.watching {
         distribution.last_heartbeat.set(now);
     }
@@ -207,8 +207,8 @@
             distribution.has_newer_directory(&inst, &heartbeat).then_some(Collection::Servers),
             distribution.should_fetch_members(&inst, &heartbeat).then_some(Collection::Instances),
         ];
-        for what in collections.into_iter().flatten() {
-            fetch(&inst, &peer, what).await;
+        for collection in collections.into_iter().flatten() {
+            fetch(&inst, &peer, collection).await;
         }
         next = distribution.pending.take();
     }
@@ -227,8 +227,8 @@
             if inst.is_ready() {
                 return;
             }
-            for what in [Collection::Config, Collection::Servers] {
-                fetch(&inst, peer, what).await;
+            for collection in [Collection::Config, Collection::Servers] {
+                fetch(&inst, peer, collection).await;
             }
         }
     }
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -64,20 +64,20 @@
 
 /// Fetches a collection from an instance, or from instances to which it redirects, and applies the update. The
 /// result is visible in the collection; a failed fetch is retried on the next heartbeat.
-pub async fn fetch(inst: &Rc<Instance>, source: &Rc<Peer>, what: Collection) {
+pub async fn fetch(inst: &Rc<Instance>, source: &Rc<Peer>, collection: Collection) {
     let started = inst.now();
     let time_limit = micros(inst.bounds.get().apply);
     let mut peer = source.clone();
     let mut whole = false;
     while inst.now().saturating_sub(started) < time_limit {
         inst.counters.increment(Count::Fetches);
-        let since = if whole { 0 } else { Update::base_version(inst, what) };
-        let outcome = fetch_from(inst, &peer, what, since).await;
+        let since = if whole { 0 } else { Update::base_version(inst, collection) };
+        let outcome = fetch_from(inst, &peer, collection, since).await;
         let elapsed_ms = (inst.now() - started) / 1_000;
         match outcome {
             Ok(FetchOutcome::Done) => {
                 if inst.may_log() {
-                    log::info!(peer = peer.name.as_str(), collection:% = what, since, took_ms = elapsed_ms; "fetched");
+                    log::info!(peer = peer.name.as_str(), collection:% = collection, since, took_ms = elapsed_ms; "fetched");
                 }
                 return;
             }
@@ -89,7 +89,7 @@
             Err(e) => {
                 inst.counters.increment(Count::FetchesFailed);
                 if inst.may_log() {
-                    log::info!(peer = peer.name.as_str(), collection:% = what, since, took_ms = elapsed_ms; "not fetched: {e}");
+                    log::info!(peer = peer.name.as_str(), collection:% = collection, since, took_ms = elapsed_ms; "not fetched: {e}");
                 }
                 match e {
                     FetchError::Rejected { source: UpdateError::StaleBase } => {}
@@ -107,13 +107,14 @@
 async fn fetch_from(
     inst: &Rc<Instance>,
     peer: &Peer,
-    what: Collection,
+    collection: Collection,
     since: u64,
 ) -> Result<FetchOutcome, FetchError> {
     let mut bytes = Vec::new();
     let mut next = None;
     loop {
-        let request = Request::Fetch(FetchRequest { what, from: inst.settings.name.clone(), since, next });
+        let request =
+            Request::Fetch(FetchRequest { collection, from: inst.settings.name.clone(), since, next });
         let response =
             timeout(CHUNK_TIMEOUT, peer.ask(inst, request)).await.map_err(|_| FetchError::Timeout)?;
         let chunk = match response {
@@ -128,7 +129,7 @@
         if bytes.len() >= chunk.total as usize {
             break;
         }
-        next = Some((chunk.at, bytes.len() as u32));
+        next = Some((chunk.version, bytes.len() as u32));
     }
     let update: Update = postcard::from_bytes(&bytes).map_err(|source| FetchError::Undecodable { source })?;
     update.apply(inst)?;
@@ -138,5 +139,5 @@
 /// Returns true if a chunk directly follows the received bytes.
 fn is_next(chunk: &Chunk, received: usize, next: Option<(u64, u32)>) -> bool {
     let has_valid_size = !chunk.bytes.is_empty() && chunk.total <= MAX_UPDATE_BYTES;
-    has_valid_size && chunk.offset as usize == received && next.is_none_or(|n| n.0 == chunk.at)
+    has_valid_size && chunk.offset as usize == received && next.is_none_or(|n| n.0 == chunk.version)
 }
--- a/crates/engine/src/group/sightings.rs
+++ b/crates/engine/src/group/sightings.rs
@@ -60,7 +60,7 @@
     let find = |it: &StatusQuery| {
         let up = servers.iter().find(|up| it.server == up.entry().as_ref().into())?;
         inst.place(up);
-        up.is_reachable().then(|| (up.clone(), came.saturating_sub(it.age)))
+        up.is_reachable().then(|| (up.clone(), came.saturating_sub(it.max_age)))
     };
     let wants: Vec<Want> = wanted.iter().filter_map(find).collect();
     for (up, since) in wants.iter().filter(|it| !is_met(it)) {
@@ -259,7 +259,7 @@
     let sent = inst.now();
     let wanted = |(up, since): &Want| {
         up.asked.set(sent);
-        StatusQuery { server: up.entry().as_ref().into(), age: sent.saturating_sub(*since) }
+        StatusQuery { server: up.entry().as_ref().into(), max_age: sent.saturating_sub(*since) }
     };
     let ask = Request::State { group: group.name.clone(), wanted: wants.iter().map(wanted).collect() };
     inst.counters.increment(Count::Inquiries);
--- a/crates/engine/src/limit/lending.rs
+++ b/crates/engine/src/limit/lending.rs
@@ -40,7 +40,7 @@
         }
         let slots = if leaving { Slots::default() } else { it.slots };
         let mut limiter = self.limiter.borrow_mut();
-        let offer = Offer { slots, share: it.share, since: it.since, term: it.term };
+        let offer = Offer { slots, share: it.share, since: it.since, term: it.duration };
         let answer = limiter.offered(&it.from, it.seq, offer, now);
         let version = inst.config().map(|it| it.version);
         let age = inst.unconfirmed().map(|it| (it / 1_000) as u32);
@@ -121,7 +121,7 @@
         }
         self.seq.set(self.seq.get().max(now) + 1);
         let from = inst.settings.name.clone();
-        QuotaLoan { from, seq: self.seq.get(), slots, share, since, term }
+        QuotaLoan { from, seq: self.seq.get(), slots, share, since, duration: term }
     }
 
     /// An instance has answered a loan; says whether another message at once makes it whole.
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -84,7 +84,8 @@
     /// Version of the configuration.
     pub version: u64,
     /// Store revision of the configuration.
-    pub desired: Revision,
+    #[serde(rename = "desired")]
+    pub config: Revision,
     /// Store revision of the server directory.
     pub directory: Revision,
     /// Digest of the set of live instances, as known to the sender.
@@ -150,7 +151,8 @@
     /// Last timestamp received from the borrower, from which the duration of the loan counts.
     pub since: Option<Stamp>,
     /// Duration of the loan, in microseconds.
-    pub term: u64,
+    #[serde(rename = "term")]
+    pub duration: u64,
 }
 
 /// Waiting operations of an organisation.
@@ -168,7 +170,8 @@
     /// Server to query.
     pub server: ServerProcess,
     /// Maximum age of the status at the time of this message, in microseconds.
-    pub age: Micros,
+    #[serde(rename = "age")]
+    pub max_age: Micros,
 }
 
 /// Status of a server, as last reported to an instance.
@@ -217,7 +220,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchRequest {
     /// Collection to fetch.
-    pub what: Collection,
+    #[serde(rename = "what")]
+    pub collection: Collection,
     /// Name of the requesting instance.
     pub from: Name,
     /// Version known to the requesting instance; 0 requests the whole collection.
@@ -230,7 +234,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// Target version of the update.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub version: u64,
     /// Total size of the update, in bytes.
     pub total: u32,
     /// Offset of the chunk, in bytes.
@@ -264,7 +269,8 @@
     /// Named statement to execute.
     pub named: Option<Prepared>,
     /// Command to send.
-    pub what: Command,
+    #[serde(rename = "what")]
+    pub command: Command,
 }
 
 /// Command for a server.
--- a/crates/engine/src/model.rs
+++ b/crates/engine/src/model.rs
@@ -72,7 +72,7 @@
     /// Text as sent by the caller.
     pub text: Bytes,
     /// Kind of the statement.
-    pub verb: StatementKind,
+    pub kind: StatementKind,
 }
 
 /// Message from a caller.
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -197,23 +197,28 @@
     fn era(&self) -> Option<u64>;
 
     /// Lists a collection. With `stale`, the answer may be seconds old, at a lower cost.
-    fn list(&self, what: Collection, stale: bool) -> CallFuture<Objects, StoreError>;
+    fn list(&self, collection: Collection, stale: bool) -> CallFuture<Objects, StoreError>;
 
     /// Waits for changes since a revision, for `wait` at most.
-    fn watch(&self, what: Collection, since: Revision, wait: Duration) -> CallFuture<Objects, StoreError>;
+    fn watch(
+        &self,
+        collection: Collection,
+        since: Revision,
+        wait: Duration,
+    ) -> CallFuture<Objects, StoreError>;
 
     /// Writes an object and returns its new revision. The object is replaced if it is at `revision`, and created
     /// if `revision` is none.
     fn put(
         &self,
-        what: Collection,
+        collection: Collection,
         name: Name,
         record: Record,
         revision: Option<Revision>,
     ) -> CallFuture<Revision, StoreError>;
 
     /// Deletes an object.
-    fn remove(&self, what: Collection, name: Name) -> CallFuture<(), StoreError>;
+    fn remove(&self, collection: Collection, name: Name) -> CallFuture<(), StoreError>;
 }
 
 /// Reasons why a promotion has no success.
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -276,7 +276,7 @@
         let sending = Sending {
             values: Some(&values),
             named: it.named.as_ref(),
-            what: what(&it.what, it.named.as_ref()),
+            what: what(&it.command, it.named.as_ref()),
             rank,
             slow,
             overdue: up.overdue(sent),
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -338,7 +338,7 @@
 
     async fn perform(&mut self, it: &Statement, arrived: Instant) -> Answer {
         if self.txn.state() == TxnState::Failed
-            && !matches!(it.verb, StatementKind::Rollback | StatementKind::Commit)
+            && !matches!(it.kind, StatementKind::Rollback | StatementKind::Commit)
         {
             return Answer::error(ErrorCode::Malformed, "the transaction has failed", TxnState::Failed);
         }
@@ -353,7 +353,7 @@
                 self.txn.state(),
             );
         }
-        match &it.verb {
+        match &it.kind {
             StatementKind::Set { name, value } => self.set(name, value),
             StatementKind::Prepare { name, access, shape } => self.prepare(name, *access, shape),
             StatementKind::Deallocate { name } => self.deallocate(name),
@@ -399,7 +399,7 @@
 
     /// Begins or ends a transaction.
     async fn bound(&mut self, it: &Statement, arrived: Instant) -> Answer {
-        match (&it.verb, self.txn.is_open()) {
+        match (&it.kind, self.txn.is_open()) {
             (StatementKind::Begin(access), false) => {
                 self.txn = Txn::None;
                 let work = match self.work(it, None, arrived) {
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -295,7 +295,7 @@
             aim: self.since + micros(self.route.objective),
             kind: xxh3_64(self.route.database.as_bytes()),
             cost: self.inst.cost(&self.route.database),
-            statements: if matches!(self.it.verb, StatementKind::Begin(_)) { TXN_STATEMENTS } else { 1 },
+            statements: if matches!(self.it.kind, StatementKind::Begin(_)) { TXN_STATEMENTS } else { 1 },
         }
     }
 
@@ -307,7 +307,7 @@
 
     /// The statement with all that goes along.
     pub fn parcel(&self, session: &Session, after: Option<LogPosition>) -> Parcel {
-        let text = match &self.it.verb {
+        let text = match &self.it.kind {
             StatementKind::Execute { args, .. } if self.named.is_some() => args,
             _ => &self.it.text,
         };
--- a/crates/engine/src/unreadable.rs
+++ b/crates/engine/src/unreadable.rs
@@ -14,26 +14,26 @@
 
 impl Unreadable {
     /// Records an object. Returns true if the object is new and should be logged.
-    pub fn insert(&mut self, what: Collection, name: &Name) -> bool {
-        match self.find(what, name) {
+    pub fn insert(&mut self, collection: Collection, name: &Name) -> bool {
+        match self.find(collection, name) {
             Ok(_) => false,
             Err(_) if self.known.len() >= MAX_OBJECTS => false,
             Err(at) => {
-                self.known.insert(at, (what.into(), name.clone()));
+                self.known.insert(at, (collection.into(), name.clone()));
                 true
             }
         }
     }
 
     /// Removes an object that is readable again.
-    pub fn remove(&mut self, what: Collection, name: &Name) {
-        if let Ok(at) = self.find(what, name) {
+    pub fn remove(&mut self, collection: Collection, name: &Name) {
+        if let Ok(at) = self.find(collection, name) {
             self.known.remove(at);
         }
     }
 
-    fn find(&self, what: Collection, name: &Name) -> Result<usize, usize> {
-        let key = (<&str>::from(what), name.as_str());
+    fn find(&self, collection: Collection, name: &Name) -> Result<usize, usize> {
+        let key = (<&str>::from(collection), name.as_str());
         self.known.binary_search_by(|entry| (entry.0, entry.1.as_str()).cmp(&key))
     }
 }
--- a/crates/engine/src/update.rs
+++ b/crates/engine/src/update.rs
@@ -130,10 +130,10 @@
 
 impl Update {
     /// Returns the current version of a collection on this instance, if any.
-    pub fn latest(inst: &Instance, what: Collection) -> Option<u64> {
-        match what {
+    pub fn latest(inst: &Instance, collection: Collection) -> Option<u64> {
+        match collection {
             Collection::Config => inst.config().map(|c| c.version),
-            Collection::Servers => inst.revision(what).map(Revision::as_u64),
+            Collection::Servers => inst.revision(collection).map(Revision::as_u64),
             Collection::Instances => inst.members().map(|m| members_digest(&m)),
             Collection::Leases | Collection::Leaders => None,
         }
@@ -141,17 +141,17 @@
 
     /// Returns the version that an update of a collection may apply to on this instance; 0 if the whole collection
     /// is required. Members are always sent as a whole.
-    pub fn base_version(inst: &Instance, what: Collection) -> u64 {
-        match what {
-            Collection::Config | Collection::Servers => Update::latest(inst, what).unwrap_or(0),
+    pub fn base_version(inst: &Instance, collection: Collection) -> u64 {
+        match collection {
+            Collection::Config | Collection::Servers => Update::latest(inst, collection).unwrap_or(0),
             Collection::Instances | Collection::Leases | Collection::Leaders => 0,
         }
     }
 
     /// Builds an update for an instance that has the collection as of `since`; none if this instance has nothing
     /// newer.
-    pub fn build(inst: &Instance, what: Collection, since: u64) -> Option<Update> {
-        match what {
+    pub fn build(inst: &Instance, collection: Collection, since: u64) -> Option<Update> {
+        match collection {
             Collection::Config => config_change(inst, since).map(|c| Update::Config(Box::new(c))),
             Collection::Servers => directory_update(inst, since),
             Collection::Instances => inst.members().map(Update::Members),
--- a/crates/engine/src/upload.rs
+++ b/crates/engine/src/upload.rs
@@ -49,9 +49,9 @@
 /// Encoded update.
 #[derive(Clone)]
 struct EncodedUpdate {
-    what: Collection,
+    collection: Collection,
     since: u64,
-    at: u64,
+    version: u64,
     bytes: Bytes,
 }
 
@@ -64,8 +64,8 @@
 
 /// Completed upload to an instance, which now serves the update too.
 struct Completed {
-    what: Collection,
-    at: u64,
+    collection: Collection,
+    version: u64,
     to: Name,
     /// Availability zone of the instance, if known.
     zone: Option<Name>,
@@ -88,7 +88,7 @@
 pub async fn answer(inst: &Instance, request: FetchRequest) -> Response {
     let uploads = &inst.uploads;
     let response = match request.next {
-        Some((at, offset)) => uploads.next_chunk(inst, &request, at, offset as usize),
+        Some((version, offset)) => uploads.next_chunk(inst, &request, version, offset as usize),
         None => begin(inst, &request).await,
     };
     if let Response::Chunk(chunk) = &response {
@@ -121,18 +121,19 @@
 impl Uploads {
     /// Returns the encoded update for an instance; none if this instance has nothing newer.
     fn encoded(&self, inst: &Instance, request: &FetchRequest) -> Option<EncodedUpdate> {
-        let (what, since) = (request.what, request.since);
-        let at = Update::latest(inst, what)?;
+        let (collection, since) = (request.collection, request.since);
+        let version = Update::latest(inst, collection)?;
         let mut cache = self.cache.borrow_mut();
-        cache.retain(|u| u.what != what || u.at == at);
-        let cached = cache.iter().find(|u| (u.what, u.since, u.at) == (what, since, at));
+        cache.retain(|u| u.collection != collection || u.version == version);
+        let cached =
+            cache.iter().find(|u| (u.collection, u.since, u.version) == (collection, since, version));
         if let Some(update) = cached {
             return Some(update.clone());
         }
-        let update = Update::build(inst, what, since)?;
+        let update = Update::build(inst, collection, since)?;
         let bytes =
             postcard::to_stdvec(&update).expect("updates are plain data, which always encodes").into();
-        let update = EncodedUpdate { what, since, at, bytes };
+        let update = EncodedUpdate { collection, since, version, bytes };
         cache.truncate(MAX_CACHED - 1);
         cache.insert(0, update.clone());
         Some(update)
@@ -157,9 +158,9 @@
     }
 
     /// Returns the next chunk of an upload in progress.
-    fn next_chunk(&self, inst: &Instance, request: &FetchRequest, at: u64, offset: usize) -> Response {
+    fn next_chunk(&self, inst: &Instance, request: &FetchRequest, version: u64, offset: usize) -> Response {
         let mut active = self.active.borrow_mut();
-        let known = active.iter_mut().find(|u| u.is_for(request) && u.update.at == at);
+        let known = active.iter_mut().find(|u| u.is_for(request) && u.update.version == version);
         let Some(upload) = known.filter(|u| offset < u.update.bytes.len()) else {
             return Response::NotSent("the upload was aborted here".to_owned());
         };
@@ -179,8 +180,15 @@
         let Some(at) = active.iter().position(|u| u.is_for(request)) else { return };
         let Upload { to, update, .. } = active.remove(at);
         let mut completed = self.completed.borrow_mut();
-        completed.retain(|old| old.what != update.what || (old.at == update.at && old.to != to));
-        completed.push(Completed { what: update.what, at: update.at, zone: zone(inst, &to), to });
+        completed.retain(|old| {
+            old.collection != update.collection || (old.version == update.version && old.to != to)
+        });
+        completed.push(Completed {
+            collection: update.collection,
+            version: update.version,
+            zone: zone(inst, &to),
+            to,
+        });
         self.completion.notify_waiters();
     }
 
@@ -188,8 +196,9 @@
     /// instance.
     fn redirect(&self, inst: &Instance, request: &FetchRequest, update: &EncodedUpdate) -> Option<Name> {
         let completed = self.completed.borrow();
-        let sources =
-            completed.iter().filter(|c| (c.what, c.at) == (update.what, update.at) && c.to != request.from);
+        let sources = completed.iter().filter(|c| {
+            (c.collection, c.version) == (update.collection, update.version) && c.to != request.from
+        });
         let own = zone(inst, &request.from);
         let (local, remote): (Vec<&Completed>, Vec<&Completed>) = sources.partition(|c| c.zone == own);
         let preferred = if local.is_empty() { remote } else { local };
@@ -206,14 +215,14 @@
 impl Upload {
     /// Returns true if a request continues or repeats this upload.
     fn is_for(&self, request: &FetchRequest) -> bool {
-        self.to == request.from && self.update.what == request.what
+        self.to == request.from && self.update.collection == request.collection
     }
 }
 
 fn chunk(update: &EncodedUpdate, offset: usize) -> Chunk {
     let end = (offset + CHUNK_BYTES).min(update.bytes.len());
     Chunk {
-        at: update.at,
+        version: update.version,
         total: update.bytes.len() as u32,
         offset: offset as u32,
         bytes: update.bytes.slice(offset..end),
--- a/crates/engine/src/watcher.rs
+++ b/crates/engine/src/watcher.rs
@@ -44,28 +44,28 @@
 const RESTORE_GRACE: Duration = Duration::from_millis(6_000);
 
 /// Keeps a collection in sync with the store while this instance has to watch the store; never returns.
-pub async fn run(inst: Rc<Instance>, what: Collection) {
+pub async fn run(inst: Rc<Instance>, collection: Collection) {
     let mut failures = 0;
     // Revision after which to watch for changes; none if the whole collection has to be read.
     let mut since: Option<Revision> = None;
     loop {
         // Reads the whole collection at the start in any case.
-        if !inst.distribution.must_watch(&inst) && inst.revision(what).is_some() {
+        if !inst.distribution.must_watch(&inst) && inst.revision(collection).is_some() {
             since = None;
             sleep(CHECK_INTERVAL).await;
             continue;
         }
         let asked = inst.now();
         let result = match since {
-            None => inst.adapters.store.list(what, false).await,
-            Some(at) => inst.adapters.store.watch(what, at, watch_limit(&inst)).await,
+            None => inst.adapters.store.list(collection, false).await,
+            Some(at) => inst.adapters.store.watch(collection, at, watch_limit(&inst)).await,
         };
         inst.counters.increment(Count::StoreCalls);
-        inst.distribution.record_call(what, result.is_ok());
+        inst.distribution.record_call(collection, result.is_ok());
         match result {
             Ok(objects) => {
                 if std::mem::take(&mut failures) > 0 {
-                    log::info!(collection:% = what; "store regained");
+                    log::info!(collection:% = collection; "store regained");
                 }
                 let as_of = objects.as_of;
                 if since.is_some_and(|r| r.era() < as_of.era()) {
@@ -74,8 +74,8 @@
                     since = None;
                     continue;
                 }
-                apply(&inst, what, objects, since.is_none());
-                if what == Collection::Config {
+                apply(&inst, collection, objects, since.is_none());
+                if collection == Collection::Config {
                     inst.confirm_config(asked);
                 }
                 since = Some(as_of);
@@ -84,7 +84,7 @@
             Err(e) => {
                 inst.counters.increment(Count::StoreFailures);
                 if failures == 0 {
-                    log::warn!(collection:% = what; "store lost: {e}");
+                    log::warn!(collection:% = collection; "store lost: {e}");
                 }
                 let (min, jitter) = match inst.distribution.is_watcher(&inst) {
                     true => BACKOFF,
@@ -104,32 +104,35 @@
 }
 
 /// Applies objects of a collection. With `whole`, objects that are not listed don't exist.
-fn apply(inst: &Rc<Instance>, what: Collection, objects: Objects, whole: bool) {
+fn apply(inst: &Rc<Instance>, collection: Collection, objects: Objects, whole: bool) {
     let as_of = objects.as_of;
     // Another instance may have delivered a later state while this call was in progress.
-    let is_outdated = inst.revision(what).is_some_and(|r| r > as_of);
+    let is_outdated = inst.revision(collection).is_some_and(|r| r > as_of);
     let old = inst.directory();
     let mut servers = if whole { Vec::new() } else { old.clone() };
     for object in objects.items {
         match object.record {
             Some(Record::Config(config)) => inst.adopt(config, as_of),
             Some(Record::Server(server)) => {
-                inst.unreadable.borrow_mut().remove(what, &object.name);
+                inst.unreadable.borrow_mut().remove(collection, &object.name);
                 put(&mut servers, server);
             }
             Some(Record::Unreadable(why)) => {
-                inst.note_unreadable(what, &object.name, &why);
+                inst.note_unreadable(collection, &object.name, &why);
                 // An unreadable object describes no server, even if it replaces an entry that did.
                 servers.retain(|old| old.id != object.name);
             }
             Some(Record::Instance(_) | Record::Lease(_) | Record::Leader(_)) => {}
             None => {
-                inst.unreadable.borrow_mut().remove(what, &object.name);
+                inst.unreadable.borrow_mut().remove(collection, &object.name);
                 servers.retain(|old| old.id != object.name);
             }
         }
     }
-    if what == Collection::Servers && !is_outdated && (servers != old || inst.revision(what).is_none()) {
+    if collection == Collection::Servers
+        && !is_outdated
+        && (servers != old || inst.revision(collection).is_none())
+    {
         inst.set_directory(servers, as_of);
     }
 }
