--- a/crates/engine/src/quota/lending.rs
+++ b/crates/engine/src/quota/lending.rs
@@ -40,7 +40,7 @@
         }
         let slots = if leaving { SlotSet::default() } else { loan.slots };
         let mut limiter = self.limiter.borrow_mut();
-        let offer = Offer { slots, share: loan.share, since: loan.since, duration: loan.term };
+        let offer = Offer { slots, share: loan.share, since: loan.since, duration: loan.duration };
         let answer = limiter.accept_offer(&loan.from, loan.seq, offer, now);
         let version = inst.config().map(|config| config.version);
         let age = inst.unconfirmed().map(|age| (age / 1_000) as u32);
@@ -123,7 +123,7 @@
         }
         self.seq.set(self.seq.get().max(now) + 1);
         let from = inst.settings.name.clone();
-        QuotaLoan { from, seq: self.seq.get(), slots, share, since, term }
+        QuotaLoan { from, seq: self.seq.get(), slots, share, since, duration: term }
     }
 
     /// Applies an instance's reply to a loan. Returns true if the loan is incomplete and another message, sent
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -345,7 +345,7 @@
 
     async fn dispatch(&mut self, statement: &Statement, arrived: Instant) -> Answer {
         if self.txn.state() == TxnState::Failed
-            && !matches!(statement.verb, StatementKind::Rollback | StatementKind::Commit)
+            && !matches!(statement.kind, StatementKind::Rollback | StatementKind::Commit)
         {
             return Answer::error(ErrorCode::Malformed, "the transaction has failed", TxnState::Failed);
         }
@@ -360,7 +360,7 @@
                 self.txn.state(),
             );
         }
-        match &statement.verb {
+        match &statement.kind {
             StatementKind::Set { name, value } => self.set(name, value),
             StatementKind::Prepare { name, access, shape } => self.prepare(name, *access, shape),
             StatementKind::Deallocate { name } => self.deallocate(name),
@@ -407,7 +407,7 @@
 
     /// Begins, commits or rolls back a transaction.
     async fn control_txn(&mut self, statement: &Statement, arrived: Instant) -> Answer {
-        match (&statement.verb, self.txn.is_open()) {
+        match (&statement.kind, self.txn.is_open()) {
             (StatementKind::Begin(access), false) => {
                 self.txn = Txn::None;
                 let execution = match self.execution(statement, None, arrived) {
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -323,7 +323,7 @@
             soft_deadline: self.arrived_at + micros(self.route.objective),
             kind: xxh3_64(self.route.database.as_bytes()),
             cost: self.inst.cost(&self.route.database),
-            statements: if matches!(self.statement.verb, StatementKind::Begin(_)) {
+            statements: if matches!(self.statement.kind, StatementKind::Begin(_)) {
                 TXN_STATEMENTS
             } else {
                 1
@@ -342,7 +342,7 @@
 
     /// Builds the request for a server whose log must have reached `min_position`.
     pub fn request(&self, session: &Session, min_position: Option<LogPosition>) -> ServerRequest {
-        let text = match &self.statement.verb {
+        let text = match &self.statement.kind {
             StatementKind::Execute { args, .. } if self.named.is_some() => args,
             _ => &self.statement.text,
         };
