--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -3,19 +3,19 @@
 
 use {
     crate::{
-        conn::{ConnError, Values},
-        dispatch::turn,
+        conn::{ConnError, SessionValues},
+        dispatch::acquire_permit,
         instance::{Instance, Micros},
         link::Link,
         message::{Command, Request, Response, RunRequest, ServerProcess},
         model::{Answer, Order, TxnState},
         organisation::Owner,
-        pool::{Denied, Lease, Want},
+        permit_queue::{Permit, PermitOutcome},
+        pool::{ConnRequest, PoolError, PooledConn},
         ports::{Forward, Text},
         progress::Progress,
         session::Prepared,
         settings::{MAX_PREPARED, RELAY_DEADLINE_MARGIN},
-        turnstile::{Permit, Turn},
         upstream::Upstream,
     },
     bytes::BytesMut,
@@ -28,30 +28,30 @@
 
 /// What is sent, and the state of the session it is for.
 #[derive(Clone, Copy)]
-pub struct Sending<'a> {
+pub struct ChannelRequest<'a> {
     /// The session's values; none where they don't matter.
-    pub values: Option<&'a Values>,
+    pub values: Option<&'a SessionValues>,
     /// The named statement that it runs.
     pub named: Option<&'a Prepared>,
     /// What is sent.
-    pub what: What<'a>,
+    pub command: CommandRef<'a>,
     /// Its rank among those that wait for a turn; none for orders that don't wait.
     pub rank: Option<Rank>,
     /// A statement that takes longer is slow, in microseconds.
-    pub slow: Micros,
+    pub slow_after: Micros,
     /// A statement that takes longer may wait on a connection that fell silent.
-    pub overdue: Duration,
+    pub stall_timeout: Duration,
     /// When nobody waits any longer.
-    pub end: Instant,
+    pub deadline: Instant,
     /// Learns how far it comes; none where nobody may leave.
     pub progress: Option<&'a Progress>,
 }
 
 /// What is sent to a server.
 #[derive(Clone, Copy)]
-pub enum What<'a> {
+pub enum CommandRef<'a> {
     /// A caller's statement.
-    Forward(Forward<'a>),
+    Statement(Forward<'a>),
     /// An order, and the position that the server's log has to hold.
     Order(&'a Order, Option<LogPosition>),
 }
@@ -109,9 +109,9 @@
 /// A connection of this instance.
 pub struct Direct {
     /// The connection.
-    pub lease: Lease,
+    pub conn: PooledConn,
     /// Its server.
-    pub up: Rc<Upstream>,
+    pub server: Rc<Upstream>,
     /// A turn that was taken before there was a connection.
     pub permit: Option<Permit>,
     /// Whether the last statement was sent.
@@ -119,40 +119,40 @@
 }
 
 /// Why there is no way over a connection of this instance.
-pub enum NoWay {
+pub enum DirectError {
     /// The server has too much to do to answer in time.
     Refused,
     /// There is no turn, or no connection, in time.
-    Late(Wait),
+    TimedOut(Wait),
     /// The server has no connection to spare, and this instance has none.
     Full,
     /// The server can't be reached.
     Unreachable(ConnError),
 }
 
-impl From<Denied> for NoWay {
-    fn from(it: Denied) -> NoWay {
+impl From<PoolError> for DirectError {
+    fn from(it: PoolError) -> DirectError {
         match it {
-            Denied::Busy => NoWay::Late(Wait::Connection),
-            Denied::Full => NoWay::Full,
-            Denied::Unreachable(e) => NoWay::Unreachable(e),
+            PoolError::Busy => DirectError::TimedOut(Wait::Connection),
+            PoolError::Full => DirectError::Full,
+            PoolError::Unreachable(e) => DirectError::Unreachable(e),
         }
     }
 }
 
 /// Waits for a turn where there is a rank.
-async fn grant(
+async fn acquire_ranked_permit(
     inst: &Rc<Instance>,
     up: &Upstream,
     rank: Option<Rank>,
     slow: Micros,
     until: Instant,
-) -> Result<Option<Permit>, NoWay> {
+) -> Result<Option<Permit>, DirectError> {
     let Some(rank) = rank else { return Ok(None) };
-    match turn(inst, up, rank, slow, until).await {
-        Turn::Granted(it) => Ok(Some(it)),
-        Turn::Refused => Err(NoWay::Refused),
-        Turn::Late => Err(NoWay::Late(Wait::Turn)),
+    match acquire_permit(inst, up, rank, slow, until).await {
+        PermitOutcome::Granted(it) => Ok(Some(it)),
+        PermitOutcome::Refused => Err(DirectError::Refused),
+        PermitOutcome::TimedOut => Err(DirectError::TimedOut(Wait::Turn)),
     }
 }
 
@@ -209,16 +209,16 @@
         told
     }
 
-    async fn run(&mut self, inst: &Instance, it: Sending<'_>) -> Result<Answer, RunError> {
+    async fn run(&mut self, inst: &Instance, it: ChannelRequest<'_>) -> Result<Answer, RunError> {
         let left = |until: Instant| until.saturating_duration_since(Instant::now()).as_millis() as u32;
-        let what = match it.what {
-            What::Forward(Forward { id, text, after }) => {
+        let what = match it.command {
+            CommandRef::Statement(Forward { id, text, after }) => {
                 let text = match text {
                     Text::Plain(text) | Text::Execute { args: text, .. } => text.clone(),
                 };
                 Command::Statement { id: id.clone(), text, after }
             }
-            What::Order(order, after) => Command::Order { order: order.clone(), after },
+            CommandRef::Order(order, after) => Command::Order { order: order.clone(), after },
         };
         let run = RunRequest {
             stream: self.stream,
@@ -226,8 +226,8 @@
             server: self.server.clone(),
             rank: it.rank.map(|it| Rank { aim: it.aim.saturating_sub(inst.now()), ..it }),
             wait_ms: left(self.until),
-            left_ms: left(it.end - RELAY_DEADLINE_MARGIN),
-            slow: it.slow,
+            left_ms: left(it.deadline - RELAY_DEADLINE_MARGIN),
+            slow: it.slow_after,
             owner: self.owner.clone(),
             values: it.values.map(|it| it.to_vec()).unwrap_or_default(),
             named: it.named.cloned(),
@@ -272,8 +272,8 @@
 
 impl Channel {
     /// Sends and waits for the answer.
-    pub async fn run(&mut self, inst: &Rc<Instance>, it: Sending<'_>) -> Result<Answer, RunError> {
-        let end = it.end;
+    pub async fn run(&mut self, inst: &Rc<Instance>, it: ChannelRequest<'_>) -> Result<Answer, RunError> {
+        let end = it.deadline;
         match self {
             Channel::Direct(direct) => match timeout_at(end, direct.run(inst, it)).await {
                 Ok(it) => it,
@@ -289,14 +289,14 @@
     /// A transaction rests on it from now on.
     pub fn pin(&mut self) {
         match self {
-            Channel::Direct(direct) => direct.lease.pin(),
+            Channel::Direct(direct) => direct.conn.pin(),
             // The other instance knows.
             Channel::Relayed(_) => {}
         }
     }
 
     /// The instance that it goes through, if it does.
-    pub fn via(&self) -> Option<&Name> {
+    pub fn peer(&self) -> Option<&Name> {
         match self {
             Channel::Direct(_) => None,
             Channel::Relayed(it) => Some(&it.peer),
@@ -304,25 +304,25 @@
     }
 
     /// Whether its server has a queue.
-    pub fn is_queued(&self) -> bool {
+    pub fn has_queue(&self) -> bool {
         match self {
-            Channel::Direct(it) => it.up.is_queued(),
+            Channel::Direct(it) => it.server.has_queue(),
             Channel::Relayed(it) => it.queued,
         }
     }
 
     /// Gives the connection back for others; nothing may be open on it.
-    pub fn give_back(self) {
+    pub fn release(self) {
         match self {
-            Channel::Direct(direct) => direct.lease.give_back(),
+            Channel::Direct(direct) => direct.conn.release(),
             Channel::Relayed(_) => {}
         }
     }
 
     /// Forgets what was prepared: the server doesn't know it any longer.
-    pub fn forget_prepared(&mut self) {
+    pub fn clear_prepared(&mut self) {
         if let Channel::Direct(direct) = self
-            && let Some(conn) = direct.lease.conn()
+            && let Some(conn) = direct.conn.get_mut()
         {
             conn.prepared.clear();
         }
@@ -332,40 +332,42 @@
 impl Direct {
     /// A turn where there is a rank, and then a connection: those that wait for turns are in order, those that wait
     /// for connections in the order of arrival.
-    pub async fn reach(
+    pub async fn open(
         inst: &Rc<Instance>,
         up: &Rc<Upstream>,
         rank: Option<Rank>,
         slow: Micros,
-        want: Want,
-    ) -> Result<Direct, NoWay> {
-        let permit = grant(inst, up, rank, slow, want.until).await?;
-        let lease = up.pool.lend(inst, &up.entry(), want).await?;
-        Ok(Direct { lease, up: up.clone(), permit, sent: false })
+        want: ConnRequest,
+    ) -> Result<Direct, DirectError> {
+        let permit = acquire_ranked_permit(inst, up, rank, slow, want.deadline).await?;
+        let lease = up.pool.acquire(inst, &up.entry(), want).await?;
+        Ok(Direct { conn: lease, server: up.clone(), permit, sent: false })
     }
 
-    async fn run(&mut self, inst: &Rc<Instance>, it: Sending<'_>) -> Result<Answer, RunError> {
+    async fn run(&mut self, inst: &Rc<Instance>, it: ChannelRequest<'_>) -> Result<Answer, RunError> {
         self.sent = false;
         let mut permit = match (self.permit.take(), it.rank) {
             (Some(it), _) => Some(it),
-            (None, Some(rank)) => match turn(inst, &self.up, rank, it.slow, it.end).await {
-                Turn::Granted(it) => Some(it),
-                Turn::Refused => return Err(RunError::Refused),
-                Turn::Late => return Err(RunError::Busy),
-            },
+            (None, Some(rank)) => {
+                match acquire_permit(inst, &self.server, rank, it.slow_after, it.deadline).await {
+                    PermitOutcome::Granted(it) => Some(it),
+                    PermitOutcome::Refused => return Err(RunError::Refused),
+                    PermitOutcome::TimedOut => return Err(RunError::Busy),
+                }
+            }
             (None, None) => None,
         };
         if let Some(it) = &mut permit {
-            it.run();
+            it.mark_sent();
         }
-        let (sent, pool) = (Instant::now(), self.lease.pool());
-        let work = run_on(inst, &mut self.lease, it, &mut self.sent);
+        let (sent, pool) = (Instant::now(), self.conn.pool());
+        let work = run_on(inst, &mut self.conn, it, &mut self.sent);
         tokio::pin!(work);
-        if let Ok(it) = timeout(it.overdue, &mut work).await {
+        if let Ok(it) = timeout(it.stall_timeout, &mut work).await {
             return it;
         }
         drop(permit);
-        pool.doubt(sent);
+        pool.close_idle_before(sent);
         work.await
     }
 }
@@ -373,8 +375,8 @@
 /// Runs a statement on a connection; says in `sent` when the server may have it.
 async fn run_on(
     inst: &Instance,
-    lease: &mut Lease,
-    it: Sending<'_>,
+    lease: &mut PooledConn,
+    it: ChannelRequest<'_>,
     sent: &mut bool,
 ) -> Result<Answer, RunError> {
     // A connection that is being prepared is of use only when that has ended.
@@ -382,29 +384,35 @@
         progress.set_sent();
     }
     if let Some(values) = it.values
-        && !align(inst, lease, values, it.named).await
+        && !apply_session_state(inst, lease, values, it.named).await
     {
         return Err(RunError::NotSent { reason: "the connection is of no use".to_owned() });
     }
     let dialect = inst.adapters.protocol.as_ref();
     let mut out = BytesMut::new();
-    match it.what {
-        What::Forward(forward) => dialect.encode_statement(forward, &mut out),
-        What::Order(order, after) => dialect.encode_order(order, after, &mut out),
+    match it.command {
+        CommandRef::Statement(forward) => dialect.encode_statement(forward, &mut out),
+        CommandRef::Order(order, after) => dialect.encode_order(order, after, &mut out),
     }
     let broken = |reason: &dyn ToString| RunError::Broken { reason: reason.to_string() };
-    let conn = lease.conn().ok_or_else(|| broken(&"the connection was given back"))?;
+    let conn = lease.get_mut().ok_or_else(|| broken(&"the connection was given back"))?;
     *sent = true;
     conn.send(&out).await.map_err(|e| broken(&e))?;
-    conn.next(dialect).await.map_err(|e| broken(&e))
+    conn.next_answer(dialect).await.map_err(|e| broken(&e))
 }
 
 /// Brings a connection into a session's state. False when that failed and the connection is of no use.
-async fn align(inst: &Instance, lease: &mut Lease, values: &Values, named: Option<&Prepared>) -> bool {
-    let Some(conn) = lease.conn() else { return false };
+async fn apply_session_state(
+    inst: &Instance,
+    lease: &mut PooledConn,
+    values: &SessionValues,
+    named: Option<&Prepared>,
+) -> bool {
+    let Some(conn) = lease.get_mut() else { return false };
     let known = conn.values.as_ref();
     // Values can only be taken away all at once.
-    let extra = |old: &Values| old.iter().any(|it| values.binary_search_by(|new| new.0.cmp(&it.0)).is_err());
+    let extra =
+        |old: &SessionValues| old.iter().any(|it| values.binary_search_by(|new| new.0.cmp(&it.0)).is_err());
     let full = conn.prepared.len() >= MAX_PREPARED && conn.txn == TxnState::Idle;
     let reset = full || known.is_none_or(extra);
     let has = |it: &(Name, Name)| !reset && known.is_some_and(|old| old.binary_search(it).is_ok());
@@ -436,7 +444,7 @@
         return false;
     }
     for _ in &orders {
-        match conn.next(inst.adapters.protocol.as_ref()).await {
+        match conn.next_answer(inst.adapters.protocol.as_ref()).await {
             Ok(it) if it.is_done() => {}
             Ok(_) | Err(_) => return false,
         }
--- a/crates/engine/src/conn.rs
+++ b/crates/engine/src/conn.rs
@@ -23,10 +23,10 @@
 };
 
 /// The first size of a connection's buffer, in bytes: most answers are smaller.
-const BUFFER: usize = 2_048;
+const BUFFER_CAPACITY: usize = 2_048;
 
 /// Session values, sorted by name.
-pub type Values = Rc<Vec<(Name, Name)>>;
+pub type SessionValues = Rc<Vec<(Name, Name)>>;
 
 /// Why an exchange with a server has no answer.
 #[derive(Debug, Snafu)]
@@ -41,7 +41,7 @@
     },
     /// The server doesn't answer in time.
     #[snafu(display("{peer}: open: no answer in time"))]
-    Silent {
+    Timeout {
         /// The server.
         peer: SocketAddrV4,
     },
@@ -79,7 +79,7 @@
                 matches!(source.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset)
             }
             ConnError::Refused { code, .. } => *code == ErrorCode::WrongServer,
-            ConnError::Silent { .. } | ConnError::Broken { .. } | ConnError::Wire { .. } => false,
+            ConnError::Timeout { .. } | ConnError::Broken { .. } | ConnError::Wire { .. } => false,
         }
     }
 }
@@ -93,7 +93,7 @@
     /// Whose statements it carries.
     pub owner: Owner,
     /// The session values set on it; none when they are not known.
-    pub values: Option<Values>,
+    pub values: Option<SessionValues>,
     /// The names of statements prepared on it, sorted.
     pub prepared: Vec<Name>,
     /// Its transaction state after the last answer.
@@ -104,24 +104,24 @@
     /// Opens a connection; the server has to have the id that its entry names.
     pub async fn open(dialect: &dyn WireProtocol, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
         let peer = server.addr;
-        timeout(CONNECT_TIMEOUT, Conn::greet(dialect, server, owner))
+        timeout(CONNECT_TIMEOUT, Conn::handshake(dialect, server, owner))
             .await
-            .map_err(|_| ConnError::Silent { peer })?
+            .map_err(|_| ConnError::Timeout { peer })?
     }
 
-    async fn greet(dialect: &dyn WireProtocol, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
+    async fn handshake(dialect: &dyn WireProtocol, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
         let peer = server.addr;
         let stream = TcpStream::connect(SocketAddr::V4(peer)).await.context(ConnectSnafu { peer })?;
         stream.set_nodelay(true).context(ConnectSnafu { peer })?;
         // Closed, it is reset: an order that nobody waits for any longer must not arrive later.
         stream.set_zero_linger().context(ConnectSnafu { peer })?;
-        let buf = BytesMut::with_capacity(BUFFER);
+        let buf = BytesMut::with_capacity(BUFFER_CAPACITY);
         let mut it = Conn {
             peer,
             stream,
             buf,
             owner,
-            values: Some(Values::default()),
+            values: Some(SessionValues::default()),
             prepared: Vec::new(),
             txn: TxnState::Idle,
         };
@@ -135,7 +135,7 @@
                     Some(code) => Err(ConnError::Refused { peer, code }),
                 };
             }
-            it.receive().await?;
+            it.fill_buffer().await?;
         }
     }
 
@@ -153,27 +153,31 @@
     }
 
     /// Waits for the next answer.
-    pub async fn next(&mut self, dialect: &dyn WireProtocol) -> Result<Answer, ConnError> {
+    pub async fn next_answer(&mut self, dialect: &dyn WireProtocol) -> Result<Answer, ConnError> {
         loop {
             let answer = dialect.decode_answer(&mut self.buf).context(WireSnafu { peer: self.peer })?;
             if let Some(it) = answer {
                 self.txn = it.txn;
                 return Ok(it);
             }
-            self.receive().await?;
+            self.fill_buffer().await?;
         }
     }
 
     /// Gives an order.
-    pub async fn order(&mut self, dialect: &dyn WireProtocol, order: &Order) -> Result<Answer, ConnError> {
+    pub async fn send_order(
+        &mut self,
+        dialect: &dyn WireProtocol,
+        order: &Order,
+    ) -> Result<Answer, ConnError> {
         let mut out = BytesMut::new();
         dialect.encode_order(order, None, &mut out);
         self.send(&out).await?;
-        self.next(dialect).await
+        self.next_answer(dialect).await
     }
 
-    async fn receive(&mut self) -> Result<(), ConnError> {
-        self.buf.reserve(BUFFER / 2);
+    async fn fill_buffer(&mut self) -> Result<(), ConnError> {
+        self.buf.reserve(BUFFER_CAPACITY / 2);
         let n = self.stream.read_buf(&mut self.buf).await.context(BrokenSnafu { peer: self.peer })?;
         match n {
             0 => Err(io::Error::from(io::ErrorKind::UnexpectedEof)).context(BrokenSnafu { peer: self.peer }),
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -11,8 +11,8 @@
         count::Count,
         instance::{Instance, Micros, micros},
         message::{Message, PermitRequest, Request, Response},
+        permit_queue::{Permit, PermitOutcome},
         settings::RELAY_DEADLINE_MARGIN,
-        turnstile::{Permit, Turn},
         upstream::Upstream,
     },
     pondtrack_core::turn::Rank,
@@ -26,69 +26,80 @@
 const SLOW_FACTOR: Micros = 3;
 /// After this long a turn is taken back from another instance: its statement may wait on a connection that fell
 /// silent, or its word that the turn is over was lost.
-pub const TURN_MOST: Duration = Duration::from_millis(1_000);
+pub const MAX_PERMIT_TIME: Duration = Duration::from_millis(1_000);
 
 /// A server stays crowded for this long at least, until all that hold their statements back alone have noticed.
-const CROWDED_LEAST: Duration = Duration::from_millis(1_000);
+const MIN_OVERLOAD_TIME: Duration = Duration::from_millis(1_000);
 
 /// Who hands out turns at a server.
 enum Dispatcher {
     /// Each instance its own.
-    Each,
+    PerInstance,
     /// This instance, for all.
-    Here,
+    Local,
     /// Another instance, for all.
-    At(Name),
+    Remote(Name),
 }
 
 /// Waits for a turn at a server. Above `slow` microseconds there a statement is slow, if it isn't known what
 /// they take without a queue.
-pub async fn turn(inst: &Rc<Instance>, up: &Upstream, rank: Rank, slow: Micros, until: Instant) -> Turn {
+pub async fn acquire_permit(
+    inst: &Rc<Instance>,
+    up: &Upstream,
+    rank: Rank,
+    slow: Micros,
+    until: Instant,
+) -> PermitOutcome {
     let turn = match dispatcher(inst, up) {
-        Dispatcher::Each => up.turns.enter(rank, None, until).await,
-        Dispatcher::Here => up.shared.enter(rank, Some(slow_at(up, slow)), until).await,
-        Dispatcher::At(name) => match ask(inst, up, &name, rank, slow_at(up, slow), until).await {
-            Some(it) => it,
-            None => {
-                up.order_alone(inst.now());
-                up.turns.enter(rank, None, until).await
+        Dispatcher::PerInstance => up.permits.acquire(rank, None, until).await,
+        Dispatcher::Local => up.shared_permits.acquire(rank, Some(slow_threshold(up, slow)), until).await,
+        Dispatcher::Remote(name) => {
+            match request_permit(inst, up, &name, rank, slow_threshold(up, slow), until).await {
+                Some(it) => it,
+                None => {
+                    up.back_off_dispatcher(inst.now());
+                    up.permits.acquire(rank, None, until).await
+                }
             }
-        },
+        }
     };
-    inst.counters.add(Count::PermitsRefused, u64::from(matches!(turn, Turn::Refused)));
-    count_lifted(inst, up);
+    inst.counters.add(Count::PermitsRefused, u64::from(matches!(turn, PermitOutcome::Refused)));
+    count_min_share_permits(inst, up);
     turn
 }
 
 /// Counts turns that went to kinds of work by their minimum.
-pub fn count_lifted(inst: &Instance, up: &Upstream) {
-    inst.counters.add(Count::PermitsLifted, up.turns.take_lifted() + up.shared.take_lifted());
+pub fn count_min_share_permits(inst: &Instance, up: &Upstream) {
+    inst.counters.add(
+        Count::PermitsLifted,
+        up.permits.take_min_share_permits() + up.shared_permits.take_min_share_permits(),
+    );
 }
 
 fn dispatcher(inst: &Rc<Instance>, up: &Upstream) -> Dispatcher {
-    if up.turns.is_lowest() && up.crowd(inst.now()) && up.dispatcher().is_none() {
-        tell_homes(inst, up);
+    if up.permits.is_limit_min() && up.mark_overloaded(inst.now()) && up.dispatcher().is_none() {
+        announce_overload(inst, up);
     }
-    if up.crowded.get().is_none() || up.alone.get() > inst.now() {
-        return Dispatcher::Each;
+    if up.overloaded_since.get().is_none() || up.dispatcher_retry_at.get() > inst.now() {
+        return Dispatcher::PerInstance;
     }
     inst.place(up);
     match up.dispatcher() {
-        Some(name) => Dispatcher::At(name),
+        Some(name) => Dispatcher::Remote(name),
         None => {
-            if !up.shared.is_crowded() {
-                relax(inst, up);
+            if !up.shared_permits.is_overloaded() {
+                clear_overload(inst, up);
             }
-            Dispatcher::Here
+            Dispatcher::Local
         }
     }
 }
 
 /// Tells those that have connections to a server that turns come from this instance: as the server's queue gets
 /// shorter, they wouldn't find out.
-pub fn tell_homes(inst: &Rc<Instance>, up: &Upstream) {
+pub fn announce_overload(inst: &Rc<Instance>, up: &Upstream) {
     let server = up.entry().id.clone();
-    for name in up.ranked.borrow().iter().take(up.homes.get()) {
+    for name in up.ranked_peers.borrow().iter().take(up.home_count.get()) {
         let Some(peer) = inst.peer(name).filter(|it| it.is_usable(inst.now())) else { continue };
         let (inst, server) = (inst.clone(), server.clone());
         tokio::task::spawn_local(async move {
@@ -100,31 +111,31 @@
 }
 
 /// Nobody has to wait at the server any longer.
-fn relax(inst: &Instance, up: &Upstream) {
-    let over = |since: Micros| inst.now() - since >= micros(CROWDED_LEAST);
-    if up.crowded.get().is_some_and(over) {
-        up.crowded.set(None);
-        up.turns.reset();
+fn clear_overload(inst: &Instance, up: &Upstream) {
+    let over = |since: Micros| inst.now() - since >= micros(MIN_OVERLOAD_TIME);
+    if up.overloaded_since.get().is_some_and(over) {
+        up.overloaded_since.set(None);
+        up.permits.reset_limit();
         log::info!(server = up.entry().id.as_str(); "no longer crowded");
     }
 }
 
-fn slow_at(up: &Upstream, slow: Micros) -> Micros {
-    match up.base.get().get() {
+fn slow_threshold(up: &Upstream, slow: Micros) -> Micros {
+    match up.base_latency.get().get() {
         0 => slow,
         base => base * SLOW_FACTOR,
     }
 }
 
 /// Asks another instance for a turn; none if it can't be asked.
-async fn ask(
+async fn request_permit(
     inst: &Rc<Instance>,
     up: &Upstream,
     name: &Name,
     rank: Rank,
     slow: Micros,
     until: Instant,
-) -> Option<Turn> {
+) -> Option<PermitOutcome> {
     let peer = inst.peer(name).filter(|it| it.is_usable(inst.now()))?;
     let link = peer.link(inst).await?;
     let wait_ms = until.saturating_duration_since(Instant::now()).as_millis() as u32;
@@ -133,19 +144,19 @@
     let told = timeout_at(until + RELAY_DEADLINE_MARGIN, link.ask(ask)).await;
     let (turn, crowded) = match told {
         Ok(Response::Permit { permit: turn, overloaded: crowded }) => {
-            (Turn::Granted(Permit::remote(link, turn)), crowded)
+            (PermitOutcome::Granted(Permit::remote(link, turn)), crowded)
         }
-        Ok(Response::Refused) => (Turn::Refused, true),
-        Ok(Response::Busy) => (Turn::Late, true),
+        Ok(Response::Refused) => (PermitOutcome::Refused, true),
+        Ok(Response::Busy) => (PermitOutcome::TimedOut, true),
         // The other one answers in time if it is there.
         Err(_) => {
-            up.order_alone(inst.now());
-            (Turn::Late, true)
+            up.back_off_dispatcher(inst.now());
+            (PermitOutcome::TimedOut, true)
         }
         Ok(_) => return None,
     };
     if !crowded {
-        relax(inst, up);
+        clear_overload(inst, up);
     }
     Some(turn)
 }
--- a/crates/engine/src/group.rs
+++ b/crates/engine/src/group.rs
@@ -1,14 +1,14 @@
 //! A group's servers, and what is known about them.
 //!
 //! Here is what callers wait for: a server that holds a position, a confirmed term, a commit that a replica has. Which servers
-//! there are is in `group/listing.rs`, what they show of themselves in `group/evidence.rs`.
+//! there are is in `group/discovery.rs`, what they show of themselves in `group/evidence.rs`.
 //!
 //! Evidence is what a server showed in the answer to a question, as of the question's sending. A replica
 //! that receives in a term confirms that the term's primary had not been replaced at that time: whoever
 //! replaces it first stops all other replicas from receiving (see [`crate::takeover`]).
 
 use {
-    self::sightings::Inquiry,
+    self::status_reports::StatusQueries,
     crate::{
         instance::{Instance, Micros, micros},
         settings::{
@@ -33,9 +33,9 @@
     },
 };
 
+mod discovery;
 mod evidence;
-mod listing;
-pub mod sightings;
+pub mod status_reports;
 
 /// Replicas that have to confirm a term, or hold a commit.
 const REPLICAS: usize = 1;
@@ -45,7 +45,7 @@
     /// Its name.
     pub name: Name,
     /// Since when this instance knows it.
-    known: Micros,
+    known_since: Micros,
     /// Woken when something about the group has changed.
     pub changed: Notify,
     servers: RefCell<Vec<Rc<Upstream>>>,
@@ -53,15 +53,15 @@
     primary: Cell<Option<usize>>,
     /// Who was last seen to lead, and in which term: its word doesn't count beside its own commits.
     leader: Cell<Option<(Term, usize)>>,
-    absent: Cell<Option<Micros>>,
+    primary_lost_at: Cell<Option<Micros>>,
     /// Whether the term's primary holds what its replicas have.
     claim: Cell<PrimaryClaim>,
     /// How often a server started again or lost its log.
-    forgotten: Cell<u64>,
-    fresh: RefCell<Freshness>,
+    evidence_resets: Cell<u64>,
+    freshness: RefCell<Freshness>,
     gate: RefCell<CommitGate>,
     /// Questions about it to other instances.
-    inquiry: Inquiry,
+    queries: StatusQueries,
 }
 
 impl Group {
@@ -69,30 +69,30 @@
     pub fn new(name: Name, now: Micros) -> Group {
         Group {
             name,
-            known: now,
+            known_since: now,
             changed: Notify::new(),
             servers: RefCell::default(),
             term: Cell::default(),
             primary: Cell::default(),
             leader: Cell::default(),
-            absent: Cell::default(),
+            primary_lost_at: Cell::default(),
             claim: Cell::default(),
-            forgotten: Cell::default(),
-            fresh: RefCell::new(Freshness::new(0, REPLICAS)),
+            evidence_resets: Cell::default(),
+            freshness: RefCell::new(Freshness::new(0, REPLICAS)),
             gate: RefCell::new(CommitGate::new(0, REPLICAS)),
-            inquiry: Inquiry::default(),
+            queries: StatusQueries::default(),
         }
     }
 
     /// Its servers that have not left.
     pub fn servers(&self) -> Vec<Rc<Upstream>> {
-        self.servers.borrow().iter().filter(|it| !it.is_gone()).cloned().collect()
+        self.servers.borrow().iter().filter(|it| !it.is_removed()).cloned().collect()
     }
 
     /// Whether it has been known for so long that a server whose entry had lapsed before is listed again, if it lives. One
     /// whose entry lapses later stays listed for as long.
     pub fn is_settled(&self, now: Micros) -> bool {
-        now.saturating_sub(self.known) >= micros(SERVER_EXPIRY)
+        now.saturating_sub(self.known_since) >= micros(SERVER_EXPIRY)
     }
 
     /// The newest term that any server showed.
@@ -103,7 +103,7 @@
     /// Its primary, as far as it is known.
     pub fn primary(&self) -> Option<Rc<Upstream>> {
         let at = self.primary.get()?;
-        self.servers.borrow().get(at).filter(|it| !it.is_gone()).cloned()
+        self.servers.borrow().get(at).filter(|it| !it.is_removed()).cloned()
     }
 
     /// Who was last seen to lead, and in which term.
@@ -114,47 +114,47 @@
     }
 
     /// Since when no primary is known.
-    pub fn absent(&self) -> Option<Micros> {
-        self.absent.get()
+    pub fn primary_lost_at(&self) -> Option<Micros> {
+        self.primary_lost_at.get()
     }
 
     /// Whether the account of any of its servers was ever wanted here.
     pub fn is_used(&self) -> bool {
-        self.servers.borrow().iter().any(|it| it.wanted.get())
+        self.servers.borrow().iter().any(|it| it.in_use.get())
     }
 
     /// Whether it is in use and has no primary that answers here.
     pub fn lacks_primary(&self) -> bool {
-        self.is_used() && self.primary().is_none_or(|it| it.silent().is_some())
+        self.is_used() && self.primary().is_none_or(|it| it.unanswered_since().is_some())
     }
 
     /// Asks every server for its account of itself that wasn't asked at `since` or later.
-    pub fn ask_all(&self, since: Micros) {
+    pub fn request_statuses(&self, since: Micros) {
         for it in self.servers() {
-            it.ask_after(since);
+            it.request_status_since(since);
         }
     }
 
     /// Asks the replica that is likely to answer first, unless it owes an answer to a question since then.
-    fn ask_replica(&self, inst: &Instance, since: Micros) {
+    fn request_replica_status(&self, inst: &Instance, since: Micros) {
         let now = inst.now();
         let servers = self.servers();
         let replicas = servers.iter().filter(|it| self.primary.get() != Some(it.index) || servers.len() == 1);
         let quiet = |it: &Upstream| {
             let paused = it.status.get().is_some_and(|it| it.1.paused.is_some());
-            it.silent.get().is_some() || paused || !self.counts(it, self.term.get())
+            it.unanswered_since.get().is_some() || paused || !self.counts_for_quorum(it, self.term.get())
         };
-        let best =
-            replicas.min_by_key(|it| (quiet(it), it.avoid.get() > now, self.offer(inst, it, now).cost()));
+        let best = replicas
+            .min_by_key(|it| (quiet(it), it.avoid_until.get() > now, self.server_load(inst, it, now).cost()));
         if let Some(it) = best {
-            it.ask_after(since);
+            it.request_status_since(since);
         }
     }
 
-    fn offer(&self, inst: &Instance, it: &Upstream, now: Micros) -> Offer {
+    fn server_load(&self, inst: &Instance, it: &Upstream, now: Micros) -> Offer {
         Offer {
-            expected: it.pace.get().expected(now),
-            load: it.turns.load(),
+            expected: it.latency.get().expected(now),
+            load: it.permits.in_flight(),
             far: it.entry().zone != inst.settings.zone,
             primary: self.primary.get() == Some(it.index),
         }
@@ -163,28 +163,31 @@
     /// Chooses a server for a read whose position was reached by the primary at `since`.
     ///
     /// Replicas that are unlikely to hold the position are left out, and servers in `tried` come last.
-    pub fn choose(&self, inst: &Instance, since: Micros, tried: &[usize]) -> Option<Rc<Upstream>> {
+    pub fn select_server(&self, inst: &Instance, since: Micros, tried: &[usize]) -> Option<Rc<Upstream>> {
         let now = inst.now();
         let age = now.saturating_sub(since) as f64;
         let caught_up = |it: &Upstream| {
             self.primary.get() == Some(it.index) || age >= it.lag.get().get(now) as f64 * LAG_FACTOR
         };
         let servers = self.servers();
-        let usable = |it: &&Rc<Upstream>| caught_up(it) && it.silent.get().is_none() && it.takes_work(inst);
+        let usable = |it: &&Rc<Upstream>| {
+            caught_up(it) && it.unanswered_since.get().is_none() && it.accepts_work(inst)
+        };
         servers
             .iter()
             .filter(usable)
             .min_by_key(|it| {
                 let again = tried.iter().filter(|n| **n == it.index).count();
-                let rest = (it.avoid.get() > now, !it.pool.is_free() || !it.turns.is_free());
-                (it.entry().draining, again, rest, self.offer(inst, it, now).cost())
+                let rest =
+                    (it.avoid_until.get() > now, !it.pool.is_available() || !it.permits.has_free_permit());
+                (it.entry().draining, again, rest, self.server_load(inst, it, now).cost())
             })
             .cloned()
     }
 
     /// The position that holds everything acknowledged longer ago than `age`, and since when it is known
     /// to. Evidence is renewed if it is getting old; none if that fails before the end.
-    pub async fn needed(
+    pub async fn required_position(
         &self,
         inst: &Instance,
         age: Duration,
@@ -194,9 +197,12 @@
         loop {
             let changed = self.changed.notified();
             let now = inst.now();
-            let needed =
-                self.fresh.borrow().required_position(now.saturating_sub(age)).filter(|_| self.is_clear());
-            self.renew(inst, now, age, needed.is_some());
+            let needed = self
+                .freshness
+                .borrow()
+                .required_position(now.saturating_sub(age))
+                .filter(|_| self.is_claim_valid());
+            self.refresh_evidence(inst, now, age, needed.is_some());
             if needed.is_some() {
                 return needed;
             }
@@ -209,54 +215,54 @@
     }
 
     /// Has evidence that is getting too old for `age`, or is not `enough`, renewed.
-    fn renew(&self, inst: &Instance, now: Micros, age: Micros, enough: bool) {
+    fn refresh_evidence(&self, inst: &Instance, now: Micros, age: Micros, enough: bool) {
         let limit = now.saturating_sub(age * EVIDENCE_REFRESH_PERCENT / 100);
         let (observed, confirmed) = {
-            let it = self.fresh.borrow();
+            let it = self.freshness.borrow();
             (it.observed_at().unwrap_or_default(), it.confirmed_at().unwrap_or_default())
         };
         match self.primary() {
-            Some(it) if observed < limit || observed == 0 => it.ask_after(limit),
+            Some(it) if observed < limit || observed == 0 => it.request_status_since(limit),
             Some(_) => {}
-            None => self.ask_all(now.saturating_sub(micros(PRIMARY_POLL_INTERVAL))),
+            None => self.request_statuses(now.saturating_sub(micros(PRIMARY_POLL_INTERVAL))),
         }
         // A confirmation counts for what was observed before it.
         if confirmed < limit || (!enough && confirmed <= observed) {
-            self.ask_replica(inst, observed.max(limit));
+            self.request_replica_status(inst, observed.max(limit));
         }
     }
 
     /// Waits until a replica confirms that the primary of `term` had not been replaced at `since`.
-    pub async fn confirm(&self, inst: &Instance, term: Term, since: Micros, end: Instant) -> bool {
+    pub async fn wait_confirmed(&self, inst: &Instance, term: Term, since: Micros, end: Instant) -> bool {
         let mut patience = STATUS_HEDGE_DELAY;
-        self.ask_replica(inst, since);
+        self.request_replica_status(inst, since);
         loop {
             let changed = self.changed.notified();
             if self.term.get() != term {
                 return false;
             }
-            if self.is_clear() && self.fresh.borrow().confirmed_at().is_some_and(|at| at >= since) {
+            if self.is_claim_valid() && self.freshness.borrow().confirmed_at().is_some_and(|at| at >= since) {
                 return true;
             }
             if Instant::now() >= end {
                 return false;
             }
             if timeout(patience, changed).await.is_err() {
-                self.ask_all(inst.now().saturating_sub(micros(patience)).max(since));
+                self.request_statuses(inst.now().saturating_sub(micros(patience)).max(since));
                 patience = (patience * 2).min(ORDER_TIMEOUT);
             }
         }
     }
 
     /// Waits until a replica has received a commit of `term`. False when the term is over, or at the end.
-    pub async fn replicated(&self, inst: &Instance, term: Term, at: Lsn, end: Instant) -> bool {
+    pub async fn wait_replicated(&self, inst: &Instance, term: Term, at: Lsn, end: Instant) -> bool {
         let began = Instant::now();
         let mut pause = MIN_REPLICATION_POLL;
         let mut sent = inst.now();
         loop {
             match began.elapsed() < STATUS_HEDGE_DELAY {
-                true => self.ask_replica(inst, sent),
-                false => self.ask_all(sent),
+                true => self.request_replica_status(inst, sent),
+                false => self.request_statuses(sent),
             }
             let answered = timeout(STATUS_HEDGE_DELAY, self.changed.notified()).await.is_ok();
             let (known, durable) = {
@@ -264,7 +270,7 @@
                 (it.term(), it.commit_lsn())
             };
             match known == term && durable >= at {
-                true if self.is_clear() => return true,
+                true if self.is_claim_valid() => return true,
                 _ if known > term || Instant::now() >= end => return false,
                 _ if answered => sleep(pause).await,
                 _ => {}
@@ -277,11 +283,11 @@
     /// Waits for a primary that answers.
     pub async fn wait_primary(&self, inst: &Instance, end: Instant) -> Option<Rc<Upstream>> {
         if self.primary().is_none() {
-            self.ask_all(inst.now().saturating_sub(micros(PRIMARY_POLL_INTERVAL)));
+            self.request_statuses(inst.now().saturating_sub(micros(PRIMARY_POLL_INTERVAL)));
         }
         loop {
             let changed = self.changed.notified();
-            let usable = |it: &Rc<Upstream>| it.silent().is_none() && it.takes_work(inst);
+            let usable = |it: &Rc<Upstream>| it.unanswered_since().is_none() && it.accepts_work(inst);
             if let Some(it) = self.primary().filter(usable) {
                 return Some(it);
             }
@@ -289,7 +295,7 @@
                 return None;
             }
             if timeout_at(end.min(Instant::now() + PRIMARY_POLL_INTERVAL), changed).await.is_err() {
-                self.ask_all(inst.now().saturating_sub(micros(PRIMARY_POLL_INTERVAL)));
+                self.request_statuses(inst.now().saturating_sub(micros(PRIMARY_POLL_INTERVAL)));
             }
         }
     }
--- a/crates/engine/src/group/sightings.rs
+++ b/crates/engine/src/group/status_reports.rs
@@ -31,29 +31,29 @@
 };
 
 /// After this long without an answer a second instance is asked what it knows: two crossings of zones, both ways.
-const SECOND_AFTER: Duration = Duration::from_millis(10);
+const PEER_HEDGE_DELAY: Duration = Duration::from_millis(10);
 /// Instances that are asked at once for a primary: one of them may be cut off.
-const LOOKS: usize = 2;
+const PRIMARY_QUERY_PEERS: usize = 2;
 
 /// A server whose account is wanted, and since when it has to have been asked for.
-type Want = (Rc<Upstream>, Micros);
+type PendingQuery = (Rc<Upstream>, Micros);
 
 /// Questions about a group to other instances: those that come together, or while one is out, go together.
 #[derive(Default)]
-pub(super) struct Inquiry {
-    wants: RefCell<Vec<Want>>,
+pub(super) struct StatusQueries {
+    pending: RefCell<Vec<PendingQuery>>,
     running: Cell<bool>,
-    begun: Cell<u64>,
-    ended: Cell<u64>,
+    started: Cell<u64>,
+    finished: Cell<u64>,
     /// Whether others are being asked for a primary that this instance should find itself.
-    looking: Cell<bool>,
+    seeking_primary: Cell<bool>,
     /// Woken when a question or a round has ended.
-    news: Notify,
+    progress: Notify,
 }
 
 /// What is known here of a group's servers. Those that are `wanted` and reached from here are asked anew first, where what is
 /// known is older; all who ask at the same time share these questions.
-pub async fn tell(inst: &Rc<Instance>, group: &str, wanted: &[StatusQuery]) -> Vec<StatusReport> {
+pub async fn collect(inst: &Rc<Instance>, group: &str, wanted: &[StatusQuery]) -> Vec<StatusReport> {
     let came = inst.now();
     let Some(group) = inst.group(group) else { return Vec::new() };
     let servers = group.servers();
@@ -62,15 +62,18 @@
         inst.place(up);
         up.is_reachable().then(|| (up.clone(), came.saturating_sub(it.age)))
     };
-    let wants: Vec<Want> = wanted.iter().filter_map(find).collect();
-    for (up, since) in wants.iter().filter(|it| !is_met(it)) {
-        up.ask_after(*since);
+    let wants: Vec<PendingQuery> = wanted.iter().filter_map(find).collect();
+    for (up, since) in wants.iter().filter(|it| !is_satisfied(it)) {
+        up.request_status_since(*since);
     }
     let end = Instant::now() + STATUS_CONN_TIMEOUT;
     loop {
         let changed = group.changed.notified();
-        let settled = |it: &Want| {
-            is_met(it) || it.0.refused().is_some() || it.0.silent().is_some() || !it.0.is_reachable()
+        let settled = |it: &PendingQuery| {
+            is_satisfied(it)
+                || it.0.refused_since().is_some()
+                || it.0.unanswered_since().is_some()
+                || !it.0.is_reachable()
         };
         if wants.iter().all(settled) || timeout_at(end, changed).await.is_err() {
             break;
@@ -85,27 +88,27 @@
 
 /// Learns from other instances what a server last said about itself, if it was asked for that at `since` or later. False
 /// where the server has to be asked.
-pub async fn learn(inst: &Rc<Instance>, group: &Rc<Group>, it: &Rc<Upstream>, since: Micros) -> bool {
+pub async fn fetch(inst: &Rc<Instance>, group: &Rc<Group>, it: &Rc<Upstream>, since: Micros) -> bool {
     inst.place(it);
     if it.is_reachable() {
         if group.primary().is_none() && group.is_used() {
             // Whoever leads may be known elsewhere, and not reached from here.
-            spawn_local(look_round(inst.clone(), group.clone(), it.clone(), inst.now()));
+            spawn_local(query_for_primary(inst.clone(), group.clone(), it.clone(), inst.now()));
         }
         return false;
     }
     // Whether it answers is found out by asking it: where that is in doubt, and where changes of primary are ordered.
-    if it.silent().is_some() || it.refused().is_some() || inst.token().is_some() {
+    if it.unanswered_since().is_some() || it.refused_since().is_some() || inst.token().is_some() {
         return false;
     }
-    it.probe(inst, group);
+    it.try_reconnect(inst, group);
     let since = since.min(inst.now());
-    let round = group.want(inst, it, since);
-    let inquiry = &group.inquiry;
+    let round = group.enqueue_query(inst, it, since);
+    let inquiry = &group.queries;
     loop {
-        let news = inquiry.news.notified();
-        let met = is_met(&(it.clone(), since));
-        if met || inquiry.ended.get() >= round {
+        let news = inquiry.progress.notified();
+        let met = is_satisfied(&(it.clone(), since));
+        if met || inquiry.finished.get() >= round {
             return met;
         }
         news.await;
@@ -113,73 +116,78 @@
 }
 
 /// Asks other instances what they know, where a server that this one should reach owes an answer and none is known to lead.
-async fn look_round(inst: Rc<Instance>, group: Rc<Group>, it: Rc<Upstream>, asked: Micros) {
-    sleep(SECOND_AFTER).await;
-    let answered = is_met(&(it.clone(), asked));
-    if answered || group.primary().is_some() || inst.token().is_some() || group.inquiry.looking.replace(true)
+async fn query_for_primary(inst: Rc<Instance>, group: Rc<Group>, it: Rc<Upstream>, asked: Micros) {
+    sleep(PEER_HEDGE_DELAY).await;
+    let answered = is_satisfied(&(it.clone(), asked));
+    if answered
+        || group.primary().is_some()
+        || inst.token().is_some()
+        || group.queries.seeking_primary.replace(true)
     {
         return;
     }
     let mut peers: Vec<Rc<Peer>> = Vec::new();
     let mut names: Vec<Name> = Vec::new();
-    while let Some(peer) = it.fit_peer_but(&inst, &Owner::Shared, &names).filter(|_| names.len() < LOOKS) {
+    while let Some(peer) =
+        it.pick_peer_except(&inst, &Owner::Shared, &names).filter(|_| names.len() < PRIMARY_QUERY_PEERS)
+    {
         names.push(peer.name.clone());
         peers.push(peer);
     }
-    let ask = |peer| put(inst.clone(), group.clone(), peer, (it.clone(), 0), Vec::new());
+    let ask = |peer| query_peer(inst.clone(), group.clone(), peer, (it.clone(), 0), Vec::new());
     join_all(peers.into_iter().map(ask)).await;
-    group.inquiry.looking.set(false);
+    group.queries.seeking_primary.set(false);
 }
 
 /// Whether a server's account is known as it is wanted.
-fn is_met(it: &Want) -> bool {
+fn is_satisfied(it: &PendingQuery) -> bool {
     it.0.status().is_some_and(|known| known.0 >= it.1)
 }
 
 impl Group {
     /// Takes in what another instance knows, which was asked at `sent`.
-    pub fn hear(&self, told: &[StatusReport], sent: Micros, now: Micros) {
+    pub fn apply_reports(&self, told: &[StatusReport], sent: Micros, now: Micros) {
         for it in told {
             let Some(asked) = freshness::asked_at(sent, it.age) else { continue };
-            let known = self.present(&it.server.id).filter(|up| !up.is_gone());
+            let known = self.find_server(&it.server.id).filter(|up| !up.is_removed());
             if let Some(up) = known.filter(|up| up.entry().incarnation == it.server.incarnation) {
-                self.was_told(&up, it.status, asked, now);
+                self.observe_relayed_status(&up, it.status, asked, now);
             }
         }
     }
 
     /// Has other instances asked about a server; hands back the number of the round that does it.
-    fn want(self: &Rc<Self>, inst: &Rc<Instance>, it: &Rc<Upstream>, since: Micros) -> u64 {
-        let inquiry = &self.inquiry;
-        inquiry.wants.borrow_mut().push((it.clone(), since));
+    fn enqueue_query(self: &Rc<Self>, inst: &Rc<Instance>, it: &Rc<Upstream>, since: Micros) -> u64 {
+        let inquiry = &self.queries;
+        inquiry.pending.borrow_mut().push((it.clone(), since));
         if !inquiry.running.replace(true) {
-            spawn_local(inquire(inst.clone(), self.clone()));
+            spawn_local(run_queries(inst.clone(), self.clone()));
         }
-        inquiry.begun.get() + 1
+        inquiry.started.get() + 1
     }
 }
 
 /// Puts what is wanted, until nothing is.
-async fn inquire(inst: Rc<Instance>, group: Rc<Group>) {
-    let inquiry = &group.inquiry;
+async fn run_queries(inst: Rc<Instance>, group: Rc<Group>) {
+    let inquiry = &group.queries;
     loop {
         // Whoever wants something at the same moment is heard first.
         yield_now().await;
-        let wants = inquiry.wants.take();
+        let wants = inquiry.pending.take();
         if wants.is_empty() {
             inquiry.running.set(false);
             return;
         }
-        inquiry.begun.set(inquiry.begun.get() + 1);
+        inquiry.started.set(inquiry.started.get() + 1);
         // Beyond that time the servers are asked.
-        timeout(RELAY_DELAY, round(&inst, &group, &wants)).await.ok();
-        inquiry.ended.set(inquiry.begun.get());
-        inquiry.news.notify_waiters();
+        timeout(RELAY_DELAY, run_round(&inst, &group, &wants)).await.ok();
+        inquiry.finished.set(inquiry.started.get());
+        inquiry.progress.notify_waiters();
     }
 }
 
 /// Asks one instance after the other until what is wanted is known, or nobody is left to be asked.
-async fn round(inst: &Rc<Instance>, group: &Rc<Group>, wants: &[Want]) {
+async fn run_round(inst: &Rc<Instance>, group: &Rc<Group>, wants: &[PendingQuery]) {
     let open = Rc::new(Cell::new(0));
     let mut asked: Vec<Name> = Vec::new();
     for n in 0..=MAX_RELAYS {
@@ -187,10 +195,10 @@
         if inst.token().is_some() {
             break;
         }
-        let missing: Vec<Want> = wants.iter().filter(|it| !is_met(it)).cloned().collect();
+        let missing: Vec<PendingQuery> = wants.iter().filter(|it| !is_satisfied(it)).cloned().collect();
         // The second one tells what it knows: it asks no server that the first one is asking.
         let knows = n == 1 && open.get() > 0;
-        let next = targets(inst, group, missing, &asked);
+        let next = pick_targets(inst, group, missing, &asked);
         if next.is_empty() {
             break;
         }
@@ -200,39 +208,39 @@
             }
             let wants = if knows { Vec::new() } else { wants };
             open.set(open.get() + 1);
-            let put = put(inst.clone(), group.clone(), peer, first, wants);
+            let put = query_peer(inst.clone(), group.clone(), peer, first, wants);
             let (asking, asker) = (open.clone(), group.clone());
             spawn_local(async move {
                 put.await;
                 asking.set(asking.get() - 1);
-                asker.inquiry.news.notify_waiters();
+                asker.queries.progress.notify_waiters();
             });
         }
-        let pause = if n == 0 { SECOND_AFTER } else { STATUS_HEDGE_DELAY };
-        if await_news(group, wants, &open, Instant::now() + pause).await {
+        let pause = if n == 0 { PEER_HEDGE_DELAY } else { STATUS_HEDGE_DELAY };
+        if wait_satisfied(group, wants, &open, Instant::now() + pause).await {
             return;
         }
     }
-    while open.get() > 0 && !await_news(group, wants, &open, Instant::now() + ORDER_TIMEOUT).await {}
+    while open.get() > 0 && !wait_satisfied(group, wants, &open, Instant::now() + ORDER_TIMEOUT).await {}
 }
 
 /// Whom to ask next, and for what: one instance for all, as it knows the rest as well; while nobody is known to lead, one for
 /// each server unless it is a home of several, as any of them may.
-fn targets(
+fn pick_targets(
     inst: &Instance,
     group: &Group,
-    missing: Vec<Want>,
+    missing: Vec<PendingQuery>,
     asked: &[Name],
-) -> Vec<(Want, Rc<Peer>, Vec<Want>)> {
-    let mut out: Vec<(Want, Rc<Peer>, Vec<Want>)> = Vec::new();
+) -> Vec<(PendingQuery, Rc<Peer>, Vec<PendingQuery>)> {
+    let mut out: Vec<(PendingQuery, Rc<Peer>, Vec<PendingQuery>)> = Vec::new();
     let one = group.primary().is_some();
     for it in missing {
-        let covers = |peer: &Peer| one || it.0.is_home(&peer.name);
+        let covers = |peer: &Peer| one || it.0.has_home(&peer.name);
         let known = out.iter_mut().find(|target| covers(&target.1));
         match known {
             Some(target) => target.2.push(it),
             None => {
-                let peer = it.0.fit_peer_but(inst, &Owner::Shared, asked);
+                let peer = it.0.pick_peer_except(inst, &Owner::Shared, asked);
                 out.extend(peer.map(|peer| (it.clone(), peer, vec![it])));
             }
         }
@@ -241,10 +249,10 @@
 }
 
 /// Waits until what is wanted is known, which it says, all questions are answered, or the end.
-async fn await_news(group: &Group, wants: &[Want], open: &Cell<usize>, end: Instant) -> bool {
+async fn wait_satisfied(group: &Group, wants: &[PendingQuery], open: &Cell<usize>, end: Instant) -> bool {
     loop {
-        let news = group.inquiry.news.notified();
-        if wants.iter().all(is_met) {
+        let news = group.queries.progress.notified();
+        if wants.iter().all(is_satisfied) {
             return true;
         }
         if open.get() == 0 || timeout_at(end, news).await.is_err() {
@@ -255,10 +263,16 @@
 
 /// Asks another instance, which was chosen for the `first` server's sake, also when nobody waits for it any longer: one that
 /// doesn't answer is passed over by later questions.
-async fn put(inst: Rc<Instance>, group: Rc<Group>, peer: Rc<Peer>, first: Want, wants: Vec<Want>) {
+async fn query_peer(
+    inst: Rc<Instance>,
+    group: Rc<Group>,
+    peer: Rc<Peer>,
+    first: PendingQuery,
+    wants: Vec<PendingQuery>,
+) {
     let sent = inst.now();
-    let wanted = |(up, since): &Want| {
-        up.asked.set(sent);
+    let wanted = |(up, since): &PendingQuery| {
+        up.asked_at.set(sent);
         StatusQuery { server: up.entry().as_ref().into(), age: sent.saturating_sub(*since) }
     };
     let ask = Request::State { group: group.name.clone(), wanted: wants.iter().map(wanted).collect() };
@@ -267,16 +281,16 @@
     let now = inst.now();
     let heard = matches!(told, Ok(Response::State(_)));
     if let Ok(Response::State(told)) = told {
-        group.hear(&told, sent, now);
+        group.apply_reports(&told, sent, now);
     }
-    if !heard || (!wants.is_empty() && !is_met(&first)) {
-        first.0.unfit(&peer.name, now, false);
+    if !heard || (!wants.is_empty() && !is_satisfied(&first)) {
+        first.0.back_off_peer(&peer.name, now, false);
         log::debug!(group = group.name.as_str(), peer = peer.name.as_str(), heard; "no news");
     }
     for (up, _) in &wants {
         // What was told may have been asked for long before.
-        if up.asked.get() == sent {
-            up.asked.set(up.status().map_or(0, |it| it.0));
+        if up.asked_at.get() == sent {
+            up.asked_at.set(up.status().map_or(0, |it| it.0));
         }
     }
 }
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -298,14 +298,14 @@
         for it in &servers {
             let before = old.binary_search_by(|old| old.id.cmp(&it.id)).ok().map(|at| &old[at]);
             if let Some(before) = before.filter(|before| before.group != it.group) {
-                self.group_of(before).leave(&it.id, now);
+                self.group_of(before).mark_missing(&it.id, now);
             }
             if before != Some(it) {
-                self.group_of(it).enter(self, it.clone());
+                self.group_of(it).upsert_server(self, it.clone());
             }
         }
         for it in old.iter().filter(|old| servers.binary_search_by(|it| it.id.cmp(&old.id)).is_err()) {
-            self.group_of(it).leave(&it.id, now);
+            self.group_of(it).mark_missing(&it.id, now);
         }
         if old != servers {
             self.share_out();
@@ -414,7 +414,7 @@
             self.share_out();
         }
         if first {
-            self.groups().iter().for_each(|it| it.greet_all(self));
+            self.groups().iter().for_each(|it| it.request_initial_statuses(self));
         }
     }
 
@@ -450,7 +450,7 @@
 
     /// Works out who has a share of a server's connections, if that may have changed.
     pub fn place(&self, up: &Upstream) {
-        if up.placement.replace(self.placement.get()) == self.placement.get() {
+        if up.placement_version.replace(self.placement.get()) == self.placement.get() {
             return;
         }
         let Some(desired) = self.config() else { return };
@@ -469,7 +469,7 @@
         let mut ranked = place::rank(&entry.id, &entry.zone, all.clone());
         up.set_dispatcher(ranked.first().filter(|it| **it != self.settings.name).cloned());
         let n = place::spread(conns, peers.len() + 1);
-        up.shared.set_most(conns);
+        up.shared_permits.set_max_limit(conns);
         let share = (conns * SHARED_CONN_TENTHS / 10 / n).max(1);
         let most = (conns * MAX_CONN_TENTHS / 10 / n).max(share);
         if n > peers.len() {
@@ -479,7 +479,7 @@
             others.retain(|it| *it != self.settings.name);
             up.pool.set_share(share, most);
             let homes = others.len();
-            return up.place(true, others, homes);
+            return up.set_placement(true, others, homes);
         }
         let mine = ranked.iter().position(|it| *it == self.settings.name).is_some_and(|at| at < n);
         // One that is no home may still be asked by another that can't reach any.
@@ -488,7 +488,7 @@
         // Homes share the work of those that are none.
         ranked[..n].rotate_left(place::weight(&entry.id, &self.settings.name) as usize % n);
         ranked.retain(|it| *it != self.settings.name);
-        up.place(mine, ranked, n - usize::from(mine));
+        up.set_placement(mine, ranked, n - usize::from(mine));
     }
 
     /// Whether new sessions are wanted here.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -17,7 +17,7 @@
 //! | [`update`], [`upload`], [`fetch`] | what instances hand each other of them |
 //! | [`group`], [`upstream`] | a group and the evidence about it, its servers |
 //! | [`order`] | questions and orders to servers |
-//! | [`conn`], [`pool`], [`turnstile`] | connections to servers, and turns at them |
+//! | [`conn`], [`pool`], [`permit_queue`] | connections to servers, and turns at them |
 //! | [`dispatch`] | turns at a server that has too much to do, from one instance for all |
 //! | [`channel`] | a way to a server: a connection, or another instance |
 //! | [`message`], [`link`], [`peer`] | other instances and what is said between them |
@@ -45,6 +45,7 @@
 pub mod order;
 pub mod organisation;
 pub mod peer;
+pub mod permit_queue;
 pub mod pool;
 pub mod ports;
 pub mod progress;
@@ -56,7 +57,6 @@
 pub mod settings;
 pub mod statement;
 pub mod takeover;
-pub mod turnstile;
 pub mod txn;
 pub mod unreadable;
 pub mod update;
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -3,12 +3,12 @@
 use {
     crate::{
         count::Count,
-        group::{Group, sightings},
+        group::{Group, status_reports},
         instance::{Instance, micros},
         message::{Request, Response},
         model::{Order, Status},
         organisation::Owner,
-        pool::{Denied, Want},
+        pool::{ConnRequest, PoolError},
         settings::{MAX_RELAYS, ORDER_TIMEOUT, PRIMARY_POLL_INTERVAL, RELAY_DELAY, STATUS_CONN_TIMEOUT},
         upstream::Upstream,
     },
@@ -19,13 +19,13 @@
 /// Asks a server whenever it is wanted; questions that come while one is out share the next.
 pub async fn poll_status(inst: Rc<Instance>, group: Rc<Group>, it: Rc<Upstream>) {
     loop {
-        it.nudge.notified().await;
-        if it.is_gone() {
+        it.poll_request.notified().await;
+        if it.is_removed() {
             it.pool.trim(Instant::now(), true);
             return;
         }
-        let since = it.since.take();
-        if sightings::learn(&inst, &group, &it, since).await {
+        let since = it.requested_since.take();
+        if status_reports::fetch(&inst, &group, &it, since).await {
             continue;
         }
         let asked = send_order(&inst, &group, &it, &Order::Status).await;
@@ -41,17 +41,17 @@
 pub async fn send_order(inst: &Rc<Instance>, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
     inst.place(it);
     if !it.is_reachable() {
-        it.probe(inst, group);
+        it.try_reconnect(inst, group);
         return give_through(inst, group, it, order).await;
     }
     // Whoever gave up on an earlier question didn't take this away.
-    it.sent.set(None);
+    it.pending_since.set(None);
     let direct = send_direct(inst, group, it, order);
     tokio::pin!(direct);
     if let Ok(answer) = timeout(RELAY_DELAY, &mut direct).await {
         return match answer {
             Some(it) => Some(it),
-            None if it.refused().is_some() => None,
+            None if it.refused_since().is_some() => None,
             None => give_through(inst, group, it, order).await,
         };
     }
@@ -60,8 +60,8 @@
         Some(status) = &mut direct => Some(status),
         Some(status) = give_through(inst, group, it, order) => {
             // A question that still waits here for a connection shows nothing.
-            if it.sent.get().is_some_and(|at| inst.now() - at >= micros(RELAY_DELAY)) {
-                it.lose("reached through other instances only");
+            if it.pending_since.get().is_some_and(|at| inst.now() - at >= micros(RELAY_DELAY)) {
+                it.mark_unreachable("reached through other instances only");
             }
             Some(status)
         }
@@ -73,23 +73,23 @@
 async fn give_through(inst: &Rc<Instance>, group: &Group, it: &Upstream, order: &Order) -> Option<Status> {
     let began = inst.now();
     for _ in 0..MAX_RELAYS {
-        let Some(peer) = it.fit_peer(inst, &Owner::Shared) else { break };
+        let Some(peer) = it.pick_peer(inst, &Owner::Shared) else { break };
         let sent = inst.now();
-        it.asked.set(sent);
+        it.asked_at.set(sent);
         let ask = Request::Order { server: it.entry().as_ref().into(), order: order.clone() };
         match timeout(ORDER_TIMEOUT, peer.ask(inst, ask)).await {
             Ok(Response::Status(Some(status))) => {
-                group.saw(it, status, sent, inst.now());
+                group.observe_status(it, status, sent, inst.now());
                 return Some(status);
             }
             Ok(Response::Gone) => {
-                it.refuse(inst.now());
+                it.record_refused(inst.now());
                 return None;
             }
-            _ => it.unfit(&peer.name, inst.now(), false),
+            _ => it.back_off_peer(&peer.name, inst.now(), false),
         }
     }
-    it.unanswered(began);
+    it.record_unanswered(began);
     None
 }
 
@@ -117,14 +117,19 @@
     it: &Upstream,
     order: &Order,
 ) -> Result<Status, Unanswered> {
-    let want = Want { priority: 0, until: Instant::now() + STATUS_CONN_TIMEOUT, values: None, owner: None };
+    let want = ConnRequest {
+        priority: 0,
+        deadline: Instant::now() + STATUS_CONN_TIMEOUT,
+        values: None,
+        owner: None,
+    };
     let server = it.entry();
-    let mut lease = match it.pool.lend(inst, &server, want).await {
+    let mut lease = match it.pool.acquire(inst, &server, want).await {
         Ok(lease) => lease,
-        Err(Denied::Busy | Denied::Full) => return Err(Unanswered::Failed),
-        Err(Denied::Unreachable(e)) => {
+        Err(PoolError::Busy | PoolError::Full) => return Err(Unanswered::Failed),
+        Err(PoolError::Unreachable(e)) => {
             log::debug!(server = server.id.as_str(); "{e}");
-            it.failed(inst.now(), e.is_refusal());
+            it.record_connect_failure(inst.now(), e.is_refusal());
             return Err(Unanswered::Failed);
         }
     };
@@ -132,27 +137,27 @@
     let sent = inst.now();
     inst.counters.increment(Count::Orders);
     let dialect = inst.adapters.protocol.as_ref();
-    it.asked.set(sent);
-    it.sent.set(Some(sent));
-    let Some(conn) = lease.conn() else { return Err(Unanswered::Failed) };
-    let answer = timeout(ORDER_TIMEOUT, conn.order(dialect, order)).await;
-    it.sent.set(None);
+    it.asked_at.set(sent);
+    it.pending_since.set(Some(sent));
+    let Some(conn) = lease.get_mut() else { return Err(Unanswered::Failed) };
+    let answer = timeout(ORDER_TIMEOUT, conn.send_order(dialect, order)).await;
+    it.pending_since.set(None);
     let answer = match answer {
         Ok(Ok(it)) => it,
         Ok(Err(e)) => {
             log::debug!(server = server.id.as_str(); "{e}");
-            it.unanswered(sent);
+            it.record_unanswered(sent);
             return Err(why);
         }
         Err(_) => {
-            it.failed(sent, false);
+            it.record_connect_failure(sent, false);
             return Err(why);
         }
     };
-    lease.give_back();
-    it.direct.set(true);
-    it.answered(inst.now());
+    lease.release();
+    it.reachable.set(true);
+    it.record_contact(inst.now());
     let status = dialect.decode_status(&answer).ok_or(Unanswered::Failed)?;
-    group.saw(it, status, sent, inst.now());
+    group.observe_status(it, status, sent, inst.now());
     Ok(status)
 }
--- a/crates/engine/src/turnstile.rs
+++ b/crates/engine/src/permit_queue.rs
@@ -15,86 +15,86 @@
 };
 
 /// Hands out turns.
-pub struct Turnstile {
+pub struct PermitQueue {
     clock: Clock,
     turns: RefCell<Turns<oneshot::Sender<Permit>>>,
 }
 
 /// What becomes of a statement that wants a turn.
-pub enum Turn {
+pub enum PermitOutcome {
     /// It may run.
     Granted(Permit),
     /// The wait takes, or would take, too much of the time that is left.
     Refused,
     /// There was no turn in time.
-    Late,
+    TimedOut,
 }
 
-impl Turnstile {
+impl PermitQueue {
     /// Nobody runs or waits.
-    pub fn new(clock: Clock) -> Rc<Turnstile> {
-        Rc::new(Turnstile { clock, turns: RefCell::default() })
+    pub fn new(clock: Clock) -> Rc<PermitQueue> {
+        Rc::new(PermitQueue { clock, turns: RefCell::default() })
     }
 
     /// Statements that run or wait.
-    pub fn load(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         let turns = self.turns.borrow();
         turns.running() + turns.waiting()
     }
 
     /// How busy it is, for a log line.
-    pub fn account(&self) -> String {
+    pub fn summary(&self) -> String {
         let turns = self.turns.borrow();
         let (running, waiting, owners) = (turns.running(), turns.waiting(), turns.owners());
         format!("running={running} waiting={waiting} owners={owners} limit={}", turns.limit())
     }
 
     /// Turns that went to kinds of work by their minimum, since the last look.
-    pub fn take_lifted(&self) -> u64 {
+    pub fn take_min_share_permits(&self) -> u64 {
         self.turns.borrow_mut().take_lifted()
     }
 
     /// Whether a statement could run at once.
-    pub fn is_free(&self) -> bool {
+    pub fn has_free_permit(&self) -> bool {
         self.turns.borrow().is_free()
     }
 
     /// Whether the server has a queue, as far as recent statements show.
-    pub fn is_shrunk(&self) -> bool {
+    pub fn is_limit_reduced(&self) -> bool {
         self.turns.borrow().is_shrunk()
     }
 
     /// Whether the limit is at its lowest.
-    pub fn is_lowest(&self) -> bool {
+    pub fn is_limit_min(&self) -> bool {
         self.turns.borrow().is_lowest()
     }
 
     /// Whether somebody had to wait lately.
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.turns.borrow().is_crowded(self.clock.now())
     }
 
     /// Sets the highest limit.
-    pub fn set_most(&self, most: usize) {
+    pub fn set_max_limit(&self, most: usize) {
         self.turns.borrow_mut().set_most(most);
     }
 
     /// Forgets what was learned of the server.
-    pub fn reset(self: &Rc<Self>) {
+    pub fn reset_limit(self: &Rc<Self>) {
         self.turns.borrow_mut().reset();
-        self.pass(self.clock.now());
+        self.grant_waiting(self.clock.now());
     }
 
     /// Waits for a turn. If it says when it is slow, the turnstile learns from how long it is held, if its statement ran.
-    pub async fn enter(self: &Rc<Self>, rank: Rank, slow: Option<Micros>, until: Instant) -> Turn {
+    pub async fn acquire(self: &Rc<Self>, rank: Rank, slow: Option<Micros>, until: Instant) -> PermitOutcome {
         let now = self.clock.now();
         if self.turns.borrow_mut().refuses(rank, now) {
-            return Turn::Refused;
+            return PermitOutcome::Refused;
         }
         if self.turns.borrow_mut().start() {
-            return Turn::Granted(self.permit(slow));
+            return PermitOutcome::Granted(self.new_permit(slow));
         }
-        let _place = Place(self);
+        let _place = WaitGuard(self);
         let (turn, got) = oneshot::channel();
         self.turns.borrow_mut().wait(rank, now, turn);
         // What can't be in time any longer is told so while its caller can still try elsewhere.
@@ -102,82 +102,82 @@
         let aim = left.map(|it| Instant::now() + Duration::from_micros(it)).filter(|it| *it < until);
         match timeout_at(aim.unwrap_or(until), got).await {
             Ok(Ok(mut it)) => {
-                it.watch(slow, self.clock.now());
-                Turn::Granted(it)
+                it.set_slow_after(slow, self.clock.now());
+                PermitOutcome::Granted(it)
             }
             Ok(Err(_)) | Err(_) => {
                 if aim.is_some() {
-                    Turn::Refused
+                    PermitOutcome::Refused
                 } else {
-                    Turn::Late
+                    PermitOutcome::TimedOut
                 }
             }
         }
     }
 
     /// A statement was answered in good time, or it was slow or refused.
-    pub fn learn(self: &Rc<Self>, quick: bool) {
+    pub fn adjust_limit(self: &Rc<Self>, quick: bool) {
         self.turns.borrow_mut().learn(quick);
-        self.pass(self.clock.now());
+        self.grant_waiting(self.clock.now());
     }
 
-    fn permit(self: &Rc<Self>, slow: Option<Micros>) -> Permit {
-        let mut it = Permit(Held::Here { of: self.clone(), watch: None, ran: false });
-        it.watch(slow, self.clock.now());
+    fn new_permit(self: &Rc<Self>, slow: Option<Micros>) -> Permit {
+        let mut it = Permit(PermitSource::Local { of: self.clone(), watch: None, ran: false });
+        it.set_slow_after(slow, self.clock.now());
         it
     }
 
     /// Hands free turns to those that wait.
-    fn pass(self: &Rc<Self>, now: Micros) {
+    fn grant_waiting(self: &Rc<Self>, now: Micros) {
         loop {
             let next = self.turns.borrow_mut().next(now);
             let Some(it) = next else { return };
             // Whoever has stopped waiting drops the turn, which passes it on.
-            drop(it.send(self.permit(None)));
+            drop(it.send(self.new_permit(None)));
         }
     }
 }
 
 /// A place among those that wait. It is given back by those that have stopped waiting, also where they are dropped.
-struct Place<'a>(&'a Turnstile);
+struct WaitGuard<'a>(&'a PermitQueue);
 
-impl Drop for Place<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.turns.borrow_mut().retain(|it| !it.is_closed());
     }
 }
 
 /// A turn. Dropped, it goes to the next.
-pub struct Permit(Held);
+pub struct Permit(PermitSource);
 
-enum Held {
+enum PermitSource {
     /// One of this instance's turnstiles.
-    Here {
-        of: Rc<Turnstile>,
+    Local {
+        of: Rc<PermitQueue>,
         /// Since when it is held, and after how long that is slow.
         watch: Option<(Micros, Micros)>,
         /// Whether its statement went to the server, as far as is known.
         ran: bool,
     },
     /// Another instance's.
-    There { link: Rc<Link>, turn: u64 },
+    Remote { link: Rc<Link>, turn: u64 },
 }
 
 impl Permit {
     /// A turn that another instance has handed out.
     pub fn remote(link: Rc<Link>, turn: u64) -> Permit {
-        Permit(Held::There { link, turn })
+        Permit(PermitSource::Remote { link, turn })
     }
 
     /// Its statement goes to the server.
-    pub fn run(&mut self) {
-        if let Held::Here { ran, .. } = &mut self.0 {
+    pub fn mark_sent(&mut self) {
+        if let PermitSource::Local { ran, .. } = &mut self.0 {
             *ran = true;
         }
     }
 
-    fn watch(&mut self, slow: Option<Micros>, now: Micros) {
-        if let Held::Here { watch, .. } = &mut self.0 {
+    fn set_slow_after(&mut self, slow: Option<Micros>, now: Micros) {
+        if let PermitSource::Local { watch, .. } = &mut self.0 {
             *watch = slow.map(|it| (now, it));
         }
     }
@@ -186,7 +186,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         match &self.0 {
-            Held::Here { of, watch, ran } => {
+            PermitSource::Local { of, watch, ran } => {
                 let now = of.clock.now();
                 let mut turns = of.turns.borrow_mut();
                 turns.end();
@@ -194,9 +194,9 @@
                     turns.learn(now - since <= slow);
                 }
                 drop(turns);
-                of.pass(now);
+                of.grant_waiting(now);
             }
-            Held::There { link, turn } => link.tell(Message::ReleasePermit { permit: *turn }),
+            PermitSource::Remote { link, turn } => link.tell(Message::ReleasePermit { permit: *turn }),
         }
     }
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -6,7 +6,7 @@
 
 use {
     crate::{
-        conn::{Conn, ConnError, Values},
+        conn::{Conn, ConnError, SessionValues},
         count::Count,
         instance::Instance,
         model::{ErrorCode, Server},
@@ -25,11 +25,11 @@
 
 /// How often a connection may go to others than the first who waits, as it is of their organisation: opening another one
 /// costs the server a turn, and the first one must not wait for as long as others come.
-const PASSED_MOST: u32 = 3;
+const MAX_BYPASSES: u32 = 3;
 
 /// Why there is no connection.
 #[derive(Debug)]
-pub enum Denied {
+pub enum PoolError {
     /// All are in use for longer than the caller can wait.
     Busy,
     /// The server has no connection to spare, and this instance has none.
@@ -40,13 +40,13 @@
 
 /// Who asks for a connection.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct ConnRequest {
     /// Rank; 0 goes first.
     pub priority: u8,
     /// The end of the wait.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Session values that it would set; a connection that has them is preferred.
-    pub values: Option<Values>,
+    pub values: Option<SessionValues>,
     /// Whose connection it has to be; none where any will do.
     pub owner: Option<Owner>,
 }
@@ -56,9 +56,9 @@
     /// Whose connection it wants; none if any will do.
     owner: Option<Owner>,
     /// How often others behind it went first.
-    passed: u32,
+    bypassed: u32,
     /// Gets a connection, or nothing when it may try to open one.
-    turn: oneshot::Sender<Option<Lease>>,
+    sender: oneshot::Sender<Option<PooledConn>>,
 }
 
 struct Idle {
@@ -73,8 +73,8 @@
     waiting: RefCell<Vec<Waiter>>,
     open: Cell<usize>,
     share: Cell<usize>,
-    most: Cell<usize>,
-    full: Cell<Option<Instant>>,
+    max: Cell<usize>,
+    full_until: Cell<Option<Instant>>,
     /// Connections on which transactions rest.
     pinned: Cell<usize>,
 }
@@ -83,41 +83,41 @@
     /// Sets how many connections this instance keeps, and how many it opens at most when callers wait.
     pub fn set_share(&self, share: usize, most: usize) {
         self.share.set(share);
-        self.most.set(most);
+        self.max.set(most);
     }
 
     /// Its connections, for a log line.
-    pub fn account(&self) -> String {
+    pub fn summary(&self) -> String {
         let (open, idle, waiting) = (self.open.get(), self.idle.borrow().len(), self.waiting.borrow().len());
-        let (share, most, pinned) = (self.share.get(), self.most.get(), self.pinned.get());
+        let (share, most, pinned) = (self.share.get(), self.max.get(), self.pinned.get());
         format!("conns={open} idle={idle} pinned={pinned} share={share} most={most} wanted={waiting}")
     }
 
     /// Whether a connection can be had without a wait.
-    pub fn is_free(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         !self.idle.borrow().is_empty() || self.may_open()
     }
 
     /// Whether there is any connection.
-    pub fn is_open(&self) -> bool {
+    pub fn has_open(&self) -> bool {
         self.open.get() > 0
     }
 
     /// Whether transactions rest on all the connections that this instance may have.
-    pub fn is_pinned(&self) -> bool {
-        self.pinned.get() >= self.most.get().max(1)
+    pub fn is_all_pinned(&self) -> bool {
+        self.pinned.get() >= self.max.get().max(1)
     }
 
     /// Lends a connection.
-    pub async fn lend(
+    pub async fn acquire(
         self: &Rc<Self>,
         inst: &Instance,
         server: &Server,
-        want: Want,
-    ) -> Result<Lease, Denied> {
+        want: ConnRequest,
+    ) -> Result<PooledConn, PoolError> {
         loop {
             if let Some(conn) = self.take_idle(&want) {
-                return Ok(Lease {
+                return Ok(PooledConn {
                     pool: self.clone(),
                     conn: Some(conn),
                     returned: false,
@@ -125,21 +125,21 @@
                     pinned: false,
                 });
             }
-            if self.may_open() || self.make_room() {
+            if self.may_open() || self.evict_idle() {
                 let owner = want.owner.clone().unwrap_or_default();
                 match self.open(inst, server, owner).await {
                     Ok(it) => return Ok(it),
                     Err(ConnError::Refused { code: ErrorCode::TooMany, .. }) => {}
-                    Err(e) => return Err(Denied::Unreachable(e)),
+                    Err(e) => return Err(PoolError::Unreachable(e)),
                 }
             }
-            if Instant::now() >= want.until {
-                return Err(Denied::Busy);
+            if Instant::now() >= want.deadline {
+                return Err(PoolError::Busy);
             }
             if self.open.get() == 0 && self.is_full() {
-                return Err(Denied::Full);
+                return Err(PoolError::Full);
             }
-            if let Some(it) = self.wait(&want).await? {
+            if let Some(it) = self.wait_turn(&want).await? {
                 return Ok(it);
             }
         }
@@ -161,7 +161,7 @@
 
     /// Closes connections that have been idle since before a time: one that was in use since then gives no
     /// answer, and they may be as dead.
-    pub fn doubt(&self, since: Instant) {
+    pub fn close_idle_before(&self, since: Instant) {
         let mut idle = self.idle.borrow_mut();
         let before = idle.len();
         idle.retain(|it| it.since > since);
@@ -169,17 +169,17 @@
     }
 
     fn may_open(&self) -> bool {
-        !self.is_full() && self.open.get() < self.most.get().max(1)
+        !self.is_full() && self.open.get() < self.max.get().max(1)
     }
 
     /// Whether the server has refused a connection just now.
     fn is_full(&self) -> bool {
-        self.full.get().is_some_and(|it| it > Instant::now())
+        self.full_until.get().is_some_and(|it| it > Instant::now())
     }
 
     /// Closes the connection that has been idle for the longest, of whichever owner, so that another can be opened;
     /// false if none is idle.
-    fn make_room(&self) -> bool {
+    fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = (0..idle.len()).min_by_key(|at| idle[*at].since);
         if let Some(at) = oldest {
@@ -189,7 +189,7 @@
         oldest.is_some()
     }
 
-    fn take_idle(&self, want: &Want) -> Option<Conn> {
+    fn take_idle(&self, want: &ConnRequest) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         let fits = |it: &Idle| want.owner.as_ref().is_none_or(|owner| it.conn.owner == *owner);
         loop {
@@ -210,10 +210,11 @@
         inst: &Instance,
         server: &Server,
         owner: Owner,
-    ) -> Result<Lease, ConnError> {
+    ) -> Result<PooledConn, ConnError> {
         // Counted before it is there, so that callers at the same time don't open too many.
         self.open.set(self.open.get() + 1);
-        let mut place = Lease { pool: self.clone(), conn: None, returned: false, new: true, pinned: false };
+        let mut place =
+            PooledConn { pool: self.clone(), conn: None, returned: false, new: true, pinned: false };
         inst.counters.increment(Count::Opened);
         match Conn::open(inst.adapters.protocol.as_ref(), server, owner).await {
             Ok(conn) => {
@@ -223,7 +224,7 @@
             Err(e) => {
                 if let ConnError::Refused { code: ErrorCode::TooMany, .. } = e {
                     inst.counters.increment(Count::Refused);
-                    self.full.set(Some(Instant::now() + CONN_LIMIT_BACKOFF));
+                    self.full_until.set(Some(Instant::now() + CONN_LIMIT_BACKOFF));
                 }
                 Err(e)
             }
@@ -231,34 +232,34 @@
     }
 
     /// Waits for a turn: a connection, or leave to try and open one.
-    async fn wait(&self, want: &Want) -> Result<Option<Lease>, Denied> {
+    async fn wait_turn(&self, want: &ConnRequest) -> Result<Option<PooledConn>, PoolError> {
         let (turn, got) = oneshot::channel();
-        let mut place = Place { pool: self, got };
+        let mut place = WaitGuard { pool: self, got };
         {
             let mut waiting = self.waiting.borrow_mut();
             let at = waiting.partition_point(|it| it.priority <= want.priority);
             let (priority, owner) = (want.priority, want.owner.clone());
-            waiting.insert(at, Waiter { priority, owner, passed: 0, turn });
+            waiting.insert(at, Waiter { priority, owner, bypassed: 0, sender: turn });
         }
-        match timeout_at(want.until, &mut place.got).await {
+        match timeout_at(want.deadline, &mut place.got).await {
             Ok(Ok(it)) => Ok(it),
-            Ok(Err(_)) | Err(_) => Err(Denied::Busy),
+            Ok(Err(_)) | Err(_) => Err(PoolError::Busy),
         }
     }
 
     /// Lets the next one try to open a connection.
-    fn pass_on(&self) {
+    fn wake_next(&self) {
         while let Some(it) = self.next_waiter() {
-            if it.turn.send(None).is_ok() {
+            if it.sender.send(None).is_ok() {
                 return;
             }
         }
     }
 
     /// Whether anybody waits for a connection.
-    fn is_wanted(&self) -> bool {
+    fn has_waiters(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|it| !it.turn.is_closed());
+        waiting.retain(|it| !it.sender.is_closed());
         !waiting.is_empty()
     }
 
@@ -269,14 +270,14 @@
 
     /// Who gets a connection of an owner: of those of the first one's priority the first that can use it, unless others
     /// went before the first one too often. None if the first one can't use it.
-    fn next_user(&self, owner: &Owner) -> Option<Waiter> {
+    fn next_waiter_for(&self, owner: &Owner) -> Option<Waiter> {
         let mut waiting = self.waiting.borrow_mut();
         let first = waiting.first()?;
         let fits = |it: &Waiter| it.owner.as_ref().is_none_or(|it| it == owner);
-        let rivals = if first.passed < PASSED_MOST { waiting.len() } else { 1 };
+        let rivals = if first.bypassed < MAX_BYPASSES { waiting.len() } else { 1 };
         let at = waiting[..rivals].iter().position(|it| it.priority == first.priority && fits(it))?;
         if at > 0 {
-            waiting[0].passed += 1;
+            waiting[0].bypassed += 1;
         }
         Some(waiting.remove(at))
     }
@@ -284,18 +285,18 @@
 
 /// A place among those that wait. It is given back by those that have stopped waiting, also where they are dropped; what
 /// came for them goes to the next.
-struct Place<'a> {
+struct WaitGuard<'a> {
     pool: &'a Pool,
-    got: oneshot::Receiver<Option<Lease>>,
+    got: oneshot::Receiver<Option<PooledConn>>,
 }
 
-impl Drop for Place<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.got.close();
-        self.pool.waiting.borrow_mut().retain(|it| !it.turn.is_closed());
+        self.pool.waiting.borrow_mut().retain(|it| !it.sender.is_closed());
         match self.got.try_recv() {
-            Ok(Some(it)) => it.give_back(),
-            Ok(None) => self.pool.pass_on(),
+            Ok(Some(it)) => it.release(),
+            Ok(None) => self.pool.wake_next(),
             // Nothing came, or it was taken.
             Err(_) => {}
         }
@@ -303,7 +304,7 @@
 }
 
 /// A connection on loan. Dropped, it is closed.
-pub struct Lease {
+pub struct PooledConn {
     pool: Rc<Pool>,
     conn: Option<Conn>,
     /// Whether the connection went back and stays counted.
@@ -314,9 +315,9 @@
     pinned: bool,
 }
 
-impl Lease {
+impl PooledConn {
     /// The connection; none only while it is being opened or handed back.
-    pub fn conn(&mut self) -> Option<&mut Conn> {
+    pub fn get_mut(&mut self) -> Option<&mut Conn> {
         self.conn.as_mut()
     }
 
@@ -344,20 +345,20 @@
     }
 
     /// Gives the connection back for others.
-    pub fn give_back(self) {
+    pub fn release(self) {
         let mut lease = self;
         lease.new = false;
         lease.unpin();
         let Some(owner) = lease.conn.as_ref().map(|it| it.owner.clone()) else { return };
-        while let Some(waiter) = lease.pool.next_user(&owner) {
-            match waiter.turn.send(Some(lease)) {
+        while let Some(waiter) = lease.pool.next_waiter_for(&owner) {
+            match waiter.sender.send(Some(lease)) {
                 Ok(()) => return,
                 // Whoever has stopped waiting hands it back.
                 Err(Some(it)) => lease = it,
                 Err(None) => return,
             }
         }
-        if lease.pool.is_wanted() {
+        if lease.pool.has_waiters() {
             // Closed, it makes room for the first one's.
             return;
         }
@@ -368,13 +369,13 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for PooledConn {
     fn drop(&mut self) {
         self.unpin();
         if self.returned {
             return;
         }
         self.pool.open.set(self.pool.open.get().saturating_sub(1));
-        self.pool.pass_on();
+        self.pool.wake_next();
     }
 }
--- a/crates/engine/src/read.rs
+++ b/crates/engine/src/read.rs
@@ -125,7 +125,7 @@
             };
             match self.landed(&group, flight) {
                 Landed::Done(answer, term) => {
-                    if !latest || group.confirm(&self.inst, term, self.since, self.end).await {
+                    if !latest || group.wait_confirmed(&self.inst, term, self.since, self.end).await {
                         reap(flights);
                         return answer;
                     }
@@ -172,7 +172,7 @@
     ) -> Result<Landing, Miss> {
         let need = self.need(session, group).await?;
         let up = match need.mark {
-            Some(_) => group.choose(&self.inst, need.since, tried),
+            Some(_) => group.select_server(&self.inst, need.since, tried),
             None => None,
         };
         let up = match up {
@@ -201,7 +201,7 @@
         let answer = match got {
             Ok(it) => it,
             Err(e) => {
-                up.missed(&e, channel.via(), sent, now);
+                up.record_run_error(&e, channel.peer(), sent, now);
                 return match e {
                     RunError::Busy => Landed::Full,
                     RunError::Refused => Landed::Refused,
@@ -213,7 +213,7 @@
         self.judge(group, &up, &answer, sent, &channel);
         need.learn(&up, &answer, sent, now);
         if answer.txn == TxnState::Idle && answer.error_code() != Some(ErrorCode::NoStatement) {
-            channel.give_back();
+            channel.release();
         }
         match answer.error_code() {
             None => {
@@ -235,7 +235,7 @@
             if let Ok(Flight { channel, got: Ok(answer), .. }) = timeout(REAP_LIMIT, it).await
                 && answer.txn == TxnState::Idle
             {
-                channel.give_back();
+                channel.release();
             }
         });
     }
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -2,23 +2,23 @@
 
 use {
     crate::{
-        channel::{Channel, Direct, NoWay, Sending, What},
+        channel::{Channel, ChannelRequest, CommandRef, Direct, DirectError},
         count::Count,
-        dispatch::{TURN_MOST, count_lifted, tell_homes},
+        dispatch::{MAX_PERMIT_TIME, announce_overload, count_min_share_permits},
         distribution,
-        group::{Group, sightings},
+        group::{Group, status_reports},
         instance::{Instance, Micros, accept_all, micros},
         link::{Halves, Reader, STREAM_SILENCE, halves},
         message::{Command, Message, PermitRequest, Request, Response, RunRequest, ServerProcess},
         model::{Order, Status, TxnState},
         order::send_direct,
         organisation::Owner,
-        pool::Want,
+        permit_queue::{Permit, PermitOutcome},
+        pool::ConnRequest,
         ports::{Forward, Text},
         progress::Progress,
         session::Prepared,
         settings::STATUS_CONN_TIMEOUT,
-        turnstile::{Permit, Turn},
         upload,
         upstream::{Exchange, Upstream},
     },
@@ -109,7 +109,7 @@
             }
             Message::Overloaded { server } => {
                 if let Some((_, up)) = find(&self.inst, &server) {
-                    up.crowd(self.inst.now());
+                    up.mark_overloaded(self.inst.now());
                 }
             }
             Message::ReleasePermit { permit: turn } => self.end_turn(turn),
@@ -189,7 +189,9 @@
             Request::Fetch(it) => upload::answer(inst, it).await,
             Request::Lend(it) => inst.quotas.handle_loan(inst, &it),
             Request::Claim(it) => inst.quotas.handle_claims(inst, &it),
-            Request::State { group, wanted } => Response::State(sightings::tell(inst, &group, &wanted).await),
+            Request::State { group, wanted } => {
+                Response::State(status_reports::collect(inst, &group, &wanted).await)
+            }
             Request::Order { server, order } => order_server(inst, &server, &order).await,
         };
         self.tell(id, told);
@@ -207,28 +209,30 @@
             self.tell(id, Response::NotSent("unknown server".to_owned()));
             return;
         };
-        if up.crowd(inst.now()) {
-            tell_homes(inst, &up);
+        if up.mark_overloaded(inst.now()) {
+            announce_overload(inst, &up);
         }
         let rank = Rank { aim: it.rank.aim + inst.now(), ..it.rank };
         let until = Instant::now() + Duration::from_millis(it.wait_ms.into());
-        let turn = up.shared.enter(rank, Some(it.slow), until).await;
-        count_lifted(inst, &up);
+        let turn = up.shared_permits.acquire(rank, Some(it.slow), until).await;
+        count_min_share_permits(inst, &up);
         match turn {
-            Turn::Granted(mut permit) => {
+            PermitOutcome::Granted(mut permit) => {
                 // Whether its statement runs isn't known here.
-                permit.run();
+                permit.mark_sent();
                 progress.set_sent();
                 self.forget(id);
                 // A link that has closed meanwhile needs no turn.
-                if self.tell(id, Response::Permit { permit: id, overloaded: up.shared.is_crowded() }) {
+                if self
+                    .tell(id, Response::Permit { permit: id, overloaded: up.shared_permits.is_overloaded() })
+                {
                     self.turns.borrow_mut().push((id, permit));
-                    sleep(TURN_MOST).await;
+                    sleep(MAX_PERMIT_TIME).await;
                     self.end_turn(id);
                 }
             }
-            Turn::Refused => drop(self.tell(id, Response::Refused)),
-            Turn::Late => drop(self.tell(id, Response::Busy)),
+            PermitOutcome::Refused => drop(self.tell(id, Response::Refused)),
+            PermitOutcome::TimedOut => drop(self.tell(id, Response::Busy)),
         }
     }
 
@@ -273,26 +277,26 @@
         };
         let values = Rc::new(it.values);
         let (sent, slow) = (inst.now(), it.slow);
-        let sending = Sending {
+        let sending = ChannelRequest {
             values: Some(&values),
             named: it.named.as_ref(),
-            what: what(&it.what, it.named.as_ref()),
+            command: what(&it.what, it.named.as_ref()),
             rank,
-            slow,
-            overdue: up.overdue(sent),
-            end,
+            slow_after: slow,
+            stall_timeout: up.stall_timeout(sent),
+            deadline: end,
             progress: Some(progress),
         };
         let answer = match channel.run(inst, sending).await {
             Ok(it) => it,
             Err(e) => {
-                up.missed(&e, None, sent, inst.now());
+                up.record_run_error(&e, None, sent, inst.now());
                 return e.into();
             }
         };
-        up.judge(inst, &group, &answer, Exchange { sent, slow, direct: true });
+        up.record_answer(inst, &group, &answer, Exchange { sent_at: sent, slow_after: slow, direct: true });
         match answer.txn {
-            TxnState::Idle => channel.give_back(),
+            TxnState::Idle => channel.release(),
             // One that was given up meanwhile is rolled back, as are those of a link that has closed.
             TxnState::Open | TxnState::Failed if !self.out.is_closed() && !progress.is_txn_abandoned() => {
                 channel.pin();
@@ -300,7 +304,7 @@
             }
             TxnState::Open | TxnState::Failed => {}
         }
-        Response::Answer { answer, queued: up.is_queued() }
+        Response::Answer { answer, queued: up.has_queue() }
     }
 }
 
@@ -321,42 +325,42 @@
     until: Instant,
 ) -> Result<Direct, Response> {
     inst.place(up);
-    if up.is_lost() {
+    if up.is_home_unreachable() {
         return Err(Response::NotSent("the server isn't reachable from here".to_owned()));
     }
-    if up.pool.is_pinned() {
+    if up.pool.is_all_pinned() {
         return Err(Response::Busy);
     }
     let priority = rank.map_or(0, |it| it.priority);
-    let want = Want { priority, until, values: None, owner: Some(owner) };
-    Direct::reach(inst, up, rank, slow, want).await.map_err(|e| match e {
-        NoWay::Refused => Response::Refused,
-        NoWay::Late(_) | NoWay::Full => Response::Busy,
-        NoWay::Unreachable(e) => {
-            up.failed(inst.now(), e.is_refusal());
+    let want = ConnRequest { priority, deadline: until, values: None, owner: Some(owner) };
+    Direct::open(inst, up, rank, slow, want).await.map_err(|e| match e {
+        DirectError::Refused => Response::Refused,
+        DirectError::TimedOut(_) | DirectError::Full => Response::Busy,
+        DirectError::Unreachable(e) => {
+            up.record_connect_failure(inst.now(), e.is_refusal());
             if e.is_refusal() { Response::Gone } else { Response::NotSent(e.to_string()) }
         }
     })
 }
 
 /// What is sent for another instance.
-fn what<'a>(it: &'a Command, named: Option<&'a Prepared>) -> What<'a> {
+fn what<'a>(it: &'a Command, named: Option<&'a Prepared>) -> CommandRef<'a> {
     match it {
         Command::Statement { id, text, after } => {
             let text = match named {
                 Some(named) => Text::Execute { name: &named.alias, args: text },
                 None => Text::Plain(text),
             };
-            What::Forward(Forward { id, text, after: *after })
+            CommandRef::Statement(Forward { id, text, after: *after })
         }
-        Command::Order { order, after } => What::Order(order, *after),
+        Command::Order { order, after } => CommandRef::Order(order, *after),
     }
 }
 
 async fn order_server(inst: &Rc<Instance>, server: &ServerProcess, order: &Order) -> Response {
     let Some((group, up)) = find(inst, &server.id) else { return Response::Status(None) };
     inst.place(&up);
-    if up.is_lost() || up.entry().incarnation != server.incarnation {
+    if up.is_home_unreachable() || up.entry().incarnation != server.incarnation {
         return Response::Status(None);
     }
     let status = match order {
@@ -364,7 +368,7 @@
         _ => send_direct(inst, &group, &up, order).await,
     };
     match status {
-        None if up.refused().is_some() => Response::Gone,
+        None if up.refused_since().is_some() => Response::Gone,
         status => Response::Status(status),
     }
 }
@@ -372,13 +376,13 @@
 /// A server's account of itself; those who ask at the same time share one question.
 async fn shared_status(inst: &Instance, group: &Group, up: &Upstream) -> Option<Status> {
     let since = inst.now();
-    up.ask_after(since);
+    up.request_status_since(since);
     let end = Instant::now() + STATUS_CONN_TIMEOUT;
     loop {
         let changed = group.changed.notified();
         match up.status() {
             Some((sent, status)) if sent >= since => return Some(status),
-            _ if Instant::now() >= end || up.refused().is_some_and(|at| at >= since) => return None,
+            _ if Instant::now() >= end || up.refused_since().is_some_and(|at| at >= since) => return None,
             // At its end the loop looks once more.
             _ => drop(timeout(STATUS_CONN_TIMEOUT, changed).await),
         }
--- a/crates/engine/src/report.rs
+++ b/crates/engine/src/report.rs
@@ -25,7 +25,7 @@
     log::info!(sessions = inst.sessions.get(); "counted since the start: {}", text.join(" "));
     let now = inst.now();
     for group in inst.groups().into_iter().filter(|it| it.is_used()) {
-        let servers: Vec<String> = group.servers().iter().map(|it| it.account(now)).collect();
+        let servers: Vec<String> = group.servers().iter().map(|it| it.summary(now)).collect();
         log::info!(group = group.name.as_str(), term = group.term().0; "servers: {}", servers.join("; "));
     }
 }
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        conn::Values,
+        conn::SessionValues,
         count::Count,
         instance::{Instance, Micros, accept_all},
         model::{Access, Answer, CallerMessage, ErrorCode, Route, Statement, StatementKind, TxnState},
@@ -63,7 +63,7 @@
     /// The key that it was opened with: whose it is may change with each configuration.
     pub key: KeyHash,
     /// Its session values.
-    pub values: Values,
+    pub values: SessionValues,
     /// Its named statements, sorted by name.
     pub prepared: Vec<Prepared>,
     /// Its latest acknowledged commit, and when that was.
@@ -317,7 +317,7 @@
             inst,
             database,
             key,
-            values: Values::default(),
+            values: SessionValues::default(),
             prepared: Vec::new(),
             mark: None,
             txn: Txn::None,
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -2,14 +2,14 @@
 
 use {
     crate::{
-        channel::{Channel, Direct, NoWay, RunError, Sending, What},
-        conn::Values,
+        channel::{Channel, ChannelRequest, CommandRef, Direct, DirectError, RunError},
+        conn::SessionValues,
         count::Count,
         group::Group,
         instance::{Instance, Micros, micros},
         model::{Answer, ErrorCode, ReadPolicy, Route, Statement, StatementKind, TxnState},
         organisation::Owner,
-        pool::Want,
+        pool::ConnRequest,
         ports::{Forward, Text},
         progress::Progress,
         session::{Prepared, Session, text},
@@ -57,7 +57,7 @@
     id: Bytes,
     text: Bytes,
     after: Option<LogPosition>,
-    values: Values,
+    values: SessionValues,
     named: Option<Prepared>,
     rank: Rank,
     slow: Micros,
@@ -83,15 +83,15 @@
             Some(named) => Text::Execute { name: &named.alias, args: &self.text },
             None => Text::Plain(&self.text),
         };
-        let what = What::Forward(Forward { id: &self.id, text, after: self.after });
-        let sending = Sending {
+        let what = CommandRef::Statement(Forward { id: &self.id, text, after: self.after });
+        let sending = ChannelRequest {
             values: Some(&self.values),
             named: self.named.as_ref(),
-            what,
+            command: what,
             rank: Some(self.rank),
-            slow: self.slow,
-            overdue: up.overdue(inst.now()),
-            end: self.end,
+            slow_after: self.slow,
+            stall_timeout: up.stall_timeout(inst.now()),
+            deadline: self.end,
             progress: Some(&self.progress),
         };
         let work = channel.run(inst, sending);
@@ -99,7 +99,7 @@
         match timeout(LIVENESS_CHECK_DELAY, &mut work).await {
             Ok(it) => it,
             Err(_) => {
-                up.ask_after(inst.now().saturating_sub(micros(LIVENESS_CHECK_DELAY)));
+                up.request_status_since(inst.now().saturating_sub(micros(LIVENESS_CHECK_DELAY)));
                 work.await
             }
         }
@@ -123,8 +123,8 @@
         }
         let age = sent.saturating_sub(self.since);
         match answer.error_code() {
-            None => up.holds(age, true, now),
-            Some(ErrorCode::Lagging) => up.holds(age, false, now),
+            None => up.record_lag(age, true, now),
+            Some(ErrorCode::Lagging) => up.record_lag(age, false, now),
             Some(_) => {}
         }
     }
@@ -173,8 +173,9 @@
     /// What the read has to show.
     pub async fn need(&self, session: &Session, group: &Group) -> Result<Need, Miss> {
         let Some(age) = self.route.policy.max_age() else { return Ok(Need { mark: None, since: 0 }) };
-        let needed =
-            group.needed(&self.inst, age.saturating_sub(STALENESS_MARGIN), self.until(Wait::Evidence)).await;
+        let needed = group
+            .required_position(&self.inst, age.saturating_sub(STALENESS_MARGIN), self.until(Wait::Evidence))
+            .await;
         let (since, mark) = needed.ok_or_else(|| self.late(Wait::Evidence))?;
         let own = session.mark.filter(|_| matches!(self.route.policy, ReadPolicy::OwnWrites(_)));
         match own {
@@ -199,35 +200,35 @@
             return self.relay(up, until).await;
         }
         // Transactions may rest on connections for long; others have theirs free.
-        if up.pool.is_pinned()
+        if up.pool.is_all_pinned()
             && let Ok(it) = self.relay(up, until).await
         {
             return Ok(it);
         }
-        let want = Want {
+        let want = ConnRequest {
             priority: self.route.priority,
-            until,
+            deadline: until,
             values: Some(session.values.clone()),
             owner: Some(self.owner.clone()),
         };
-        match Direct::reach(&self.inst, up, Some(self.rank_at(up)), self.slow(), want).await {
+        match Direct::open(&self.inst, up, Some(self.rank_at(up)), self.slow(), want).await {
             Ok(it) => Ok(Channel::Direct(it)),
-            Err(NoWay::Refused) => Err(Miss::Late(NO_TIME, None)),
-            Err(NoWay::Late(wait)) if self.is_held() => Err(self.late(wait)),
-            Err(NoWay::Late(_)) => Err(Miss::Again),
-            Err(NoWay::Full) => self.relay(up, until).await,
-            Err(NoWay::Unreachable(e)) => {
+            Err(DirectError::Refused) => Err(Miss::Late(NO_TIME, None)),
+            Err(DirectError::TimedOut(wait)) if self.is_held() => Err(self.late(wait)),
+            Err(DirectError::TimedOut(_)) => Err(Miss::Again),
+            Err(DirectError::Full) => self.relay(up, until).await,
+            Err(DirectError::Unreachable(e)) => {
                 if self.inst.may_log() {
                     log::info!(server = up.entry().id.as_str(); "{e}");
                 }
-                up.failed(self.inst.now(), e.is_refusal());
+                up.record_connect_failure(self.inst.now(), e.is_refusal());
                 Err(Miss::Again)
             }
         }
     }
 
     async fn relay(&self, up: &Upstream, until: Instant) -> Result<Channel, Miss> {
-        let found = up.relay(&self.inst, &self.owner, until).await;
+        let found = up.open_relayed(&self.inst, &self.owner, until).await;
         found.map(Channel::Relayed).ok_or(Miss::Again)
     }
 
@@ -302,7 +303,7 @@
     /// The same at a server: what it takes there is taken off the time that is left.
     fn rank_at(&self, up: &Upstream) -> Rank {
         let it = self.rank();
-        Rank { aim: it.aim.saturating_sub(up.pace.get().expected(self.inst.now()) as Micros), ..it }
+        Rank { aim: it.aim.saturating_sub(up.latency.get().expected(self.inst.now()) as Micros), ..it }
     }
 
     /// The statement with all that goes along.
@@ -331,13 +332,18 @@
 
     /// Draws conclusions from an answer.
     pub fn judge(&self, group: &Group, up: &Upstream, answer: &Answer, sent: Micros, channel: &Channel) {
-        let direct = channel.via().is_none();
-        up.judge(&self.inst, group, answer, Exchange { sent, slow: self.slow(), direct });
+        let direct = channel.peer().is_none();
+        up.record_answer(
+            &self.inst,
+            group,
+            answer,
+            Exchange { sent_at: sent, slow_after: self.slow(), direct },
+        );
         match answer.error_code() {
             None => {
                 self.inst.counters.increment(Count::Statements);
                 let took = self.inst.now() - sent;
-                self.inst.spent(&self.route.database, took, channel.is_queued());
+                self.inst.spent(&self.route.database, took, channel.has_queue());
             }
             Some(ErrorCode::Busy) => self.inst.counters.increment(Count::ServerBusy),
             Some(ErrorCode::Lagging) => self.inst.counters.increment(Count::ServerLagging),
@@ -349,7 +355,7 @@
     pub async fn acknowledge(&self, session: &mut Session, group: &Group, answer: Answer) -> Answer {
         let Some(mark) = answer.mark else { return answer };
         let began = Instant::now();
-        let held = group.replicated(&self.inst, mark.term, mark.lsn, self.end).await;
+        let held = group.wait_replicated(&self.inst, mark.term, mark.lsn, self.end).await;
         self.inst.counters.record_replication_wait(began.elapsed());
         if !held {
             return unknown("the commit isn't known to last");
--- a/crates/engine/src/takeover.rs
+++ b/crates/engine/src/takeover.rs
@@ -138,7 +138,7 @@
         };
         let servers = self.group.servers();
         let term = self.group.term();
-        let counts = |it: &&Rc<Upstream>| it.index != primary.index && self.group.counts(it, term);
+        let counts = |it: &&Rc<Upstream>| it.index != primary.index && self.group.counts_for_quorum(it, term);
         let replicas: Vec<_> = servers.iter().filter(counts).collect();
         let reached = replicas.iter().filter_map(|it| it.status()).map(|it| it.1.received.lsn).max();
         let written = primary.status().map_or(Lsn::default(), |it| it.1.received.lsn);
@@ -150,7 +150,7 @@
         };
         // A verdict needs answers of the replicas that came after the time for them was over.
         if let Some(it) = self.ahead.filter(|it| now >= it.since + micros(STALLED)) {
-            replicas.iter().for_each(|replica| replica.ask_after(it.since + micros(STALLED)));
+            replicas.iter().for_each(|replica| replica.request_status_since(it.since + micros(STALLED)));
         }
     }
 
@@ -161,7 +161,7 @@
         let late = ahead.since.max(self.since) + micros(STALLED);
         let servers = self.group.servers();
         let mut replicas = servers.iter().filter(|it| Some(it.index) != primary);
-        replicas.all(|it| it.silent().is_some() || it.status().is_some_and(|it| it.0 >= late))
+        replicas.all(|it| it.unanswered_since().is_some() || it.status().is_some_and(|it| it.0 >= late))
     }
 
     fn cause(&self, now: Micros) -> Option<Cause> {
@@ -171,15 +171,15 @@
         // What was seen before this instance could act counts, but for what it didn't watch until then.
         let watched = |since: Option<Micros>| since.map(|at| at.max(self.since));
         let Some(primary) = self.group.primary() else {
-            return over(watched(self.group.absent()), ABSENT).then_some(Cause::Absent);
+            return over(watched(self.group.primary_lost_at()), ABSENT).then_some(Cause::Absent);
         };
         if primary.entry().draining {
             return Some(Cause::Leaving);
         }
-        if over(primary.refused(), REFUSED) {
+        if over(primary.refused_since(), REFUSED) {
             return Some(Cause::Refused);
         }
-        if over(primary.silent(), silence(now)) {
+        if over(primary.unanswered_since(), silence(now)) {
             return Some(Cause::Silent);
         }
         self.is_stalled().then_some(Cause::Stalled)
@@ -197,13 +197,13 @@
     for it in group.servers() {
         let (age, known) = match primary == Some(it.index) {
             // Any answer shows that it is there; how far its log goes is wanted more rarely.
-            true => (ASK_PRIMARY, Some(it.heard())),
+            true => (ASK_PRIMARY, Some(it.last_contact())),
             false => (ASK_REPLICA, it.status().map(|it| it.0)),
         };
         let limit = now.saturating_sub(micros(age));
         let stated = it.status().is_some_and(|it| it.0 >= now.saturating_sub(micros(ASK_REPLICA)));
         if !stated || known.is_none_or(|at| at < limit) {
-            it.ask_after(limit);
+            it.request_status_since(limit);
         }
     }
 }
@@ -235,7 +235,7 @@
     let old = group.primary().map_or(Name::new(), |it| it.entry().id.clone());
     log::info!(group = group.name.as_str(), primary = old.as_str(), term = term.0, cause:% = cause; "change of primary begins");
     let changed =
-        Change { inst: &inst, group: &group, term, forgotten: group.forgotten(), begin }.run().await;
+        Change { inst: &inst, group: &group, term, forgotten: group.evidence_resets(), begin }.run().await;
     let took_ms = began.elapsed().as_millis() as u64;
     match changed {
         Ok(id) => {
--- a/crates/engine/src/takeover/change.rs
+++ b/crates/engine/src/takeover/change.rs
@@ -52,7 +52,7 @@
         }
         known.retain(|it| it.1.role == Role::Replica);
         self.check_last_copy(&known)?;
-        let counts = |it: &Upstream| self.group.counts(it, self.term);
+        let counts = |it: &Upstream| self.group.counts_for_quorum(it, self.term);
         let has = |at: Lsn| known.iter().any(|it| it.1.received.lsn >= at && counts(&it.0));
         if self.begin.cause == Cause::Stalled && self.begin.ahead.is_some_and(has) {
             // Replicas that gave no answer before may have received it all the while.
@@ -81,7 +81,7 @@
         let leads = |it: &&(Rc<Upstream>, Status)| it.1.role == Role::Primary && it.1.term >= self.term;
         match known.iter().find(leads) {
             None => Ok(None),
-            Some((it, _)) if self.group.lacks(it) => Ok(Some(it.clone())),
+            Some((it, _)) if self.group.has_lost_log(it) => Ok(Some(it.clone())),
             Some(_) => Err("a primary was found"),
         }
     }
@@ -91,9 +91,9 @@
     /// left has to do.
     fn check_last_copy(&self, replicas: &[(Rc<Upstream>, Status)]) -> Result<(), Failed> {
         let lost = matches!(self.begin.cause, Cause::Silent | Cause::Refused | Cause::Absent);
-        let Some(unrecovered) = self.group.unrecovered().filter(|_| lost) else { return Ok(()) };
+        let Some(unrecovered) = self.group.unrecovered_replica().filter(|_| lost) else { return Ok(()) };
         let heard = |it: &Upstream| replicas.iter().any(|known| known.0.index == it.index);
-        if self.group.led_by().is_some_and(|it| !heard(&it)) {
+        if self.group.current_leader().is_some_and(|it| !heard(&it)) {
             return Err("a replica came back with nothing, and only the primary may hold what it had");
         }
         self.inst.counters.increment(Count::Losses);
@@ -139,8 +139,8 @@
     fn came_back(&self, old: Option<&Upstream>) -> bool {
         let Some(old) = old else { return false };
         match self.begin.cause {
-            Cause::Silent => old.silent().is_none(),
-            Cause::Refused => old.refused().is_none(),
+            Cause::Silent => old.unanswered_since().is_none(),
+            Cause::Refused => old.refused_since().is_none(),
             Cause::Leaving | Cause::Stalled | Cause::Absent => false,
         }
     }
@@ -219,7 +219,7 @@
         let entry = target.entry();
         for _ in 0..ORDERS {
             let token = self.inst.token().ok_or("the right to promote has ended")?;
-            if self.group.forgotten() != self.forgotten {
+            if self.group.evidence_resets() != self.forgotten {
                 return Err("a server that was asked has forgotten what it held");
             }
             self.inst.counters.increment(Count::Promotions);
@@ -260,7 +260,7 @@
         let rest: Vec<&Rc<Upstream>> = others.iter().filter(|it| it.index != target.index).collect();
         let term = self.group.term();
         let step_down = async {
-            let other = |it: &&Upstream| it.index != target.index && it.silent().is_none();
+            let other = |it: &&Upstream| it.index != target.index && it.unanswered_since().is_none();
             if let Some(old) = old.filter(|it| term > self.term && other(it)) {
                 self.give(old, Order::StepDown(term)).await;
             }
--- a/crates/engine/src/txn.rs
+++ b/crates/engine/src/txn.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        channel::{Channel, RunError, Sending, What},
+        channel::{Channel, ChannelRequest, CommandRef, RunError},
         count::Count,
         group::Group,
         instance::{Instance, Micros},
@@ -104,16 +104,16 @@
     pub async fn abandon(&mut self) {
         if let Txn::Open(it) = std::mem::replace(self, Txn::None) {
             let OpenTxn { inst, mut channel, .. } = *it;
-            let what = What::Order(&Order::Rollback, None);
+            let what = CommandRef::Order(&Order::Rollback, None);
             let end = Instant::now() + ORDER_TIMEOUT;
-            let sending = Sending {
+            let sending = ChannelRequest {
                 values: None,
                 named: None,
-                what,
+                command: what,
                 rank: None,
-                slow: Micros::MAX,
-                overdue: ORDER_TIMEOUT,
-                end,
+                slow_after: Micros::MAX,
+                stall_timeout: ORDER_TIMEOUT,
+                deadline: end,
                 progress: None,
             };
             // Without an answer the connection is closed, which rolls back as well.
@@ -121,7 +121,7 @@
                 && answer.is_done()
                 && answer.txn == TxnState::Idle
             {
-                channel.give_back();
+                channel.release();
             }
         }
     }
@@ -161,7 +161,7 @@
     ) -> Result<OpenTxn, Option<Answer>> {
         let need = self.need(session, group).await.map_err(|it| self.refusal(it))?;
         let chosen = match (access, need.mark) {
-            (Access::Read, Some(_)) => group.choose(&self.inst, need.since, tried),
+            (Access::Read, Some(_)) => group.select_server(&self.inst, need.since, tried),
             _ => None,
         };
         let up = match chosen {
@@ -177,7 +177,7 @@
         let answer = match parcel.run(&self.inst, &up, &mut channel).await {
             Ok(it) => it,
             Err(e) => {
-                up.missed(&e, channel.via(), sent, self.inst.now());
+                up.record_run_error(&e, channel.peer(), sent, self.inst.now());
                 let refused = matches!(e, RunError::Refused);
                 return Err(refused.then(|| busy(NO_TIME, TxnState::Idle)));
             }
@@ -188,13 +188,13 @@
             None => {}
             Some(code) => {
                 if answer.txn == TxnState::Idle {
-                    channel.give_back();
+                    channel.release();
                 }
                 return Err((!code.is_not_run() && code != ErrorCode::Failed).then_some(answer));
             }
         }
         if self.route.policy == ReadPolicy::Latest
-            && !group.confirm(&self.inst, term, self.since, self.end).await
+            && !group.wait_confirmed(&self.inst, term, self.since, self.end).await
         {
             // Where it was replaced meanwhile, the next one is asked.
             return Err((group.term() == term).then(|| busy(UNCONFIRMED, TxnState::Idle)));
@@ -223,7 +223,7 @@
             let answer = match parcel.run(&self.inst, &txn.up, &mut txn.channel).await {
                 Ok(it) => it,
                 Err(e) => {
-                    txn.up.missed(&e, txn.channel.via(), sent, self.inst.now());
+                    txn.up.record_run_error(&e, txn.channel.peer(), sent, self.inst.now());
                     session.txn.lose("the server didn't answer");
                     return session.txn.report_lost();
                 }
@@ -234,7 +234,7 @@
                 && answer.txn == TxnState::Open;
             if again && Instant::now() < self.end {
                 if answer.error_code() == Some(ErrorCode::NoStatement) {
-                    txn.channel.forget_prepared();
+                    txn.channel.clear_prepared();
                 }
                 self.pause(&mut backoff).await;
                 continue;
@@ -267,7 +267,7 @@
             let answer = match parcel.run(&self.inst, &up, &mut channel).await {
                 Ok(it) => it,
                 Err(e) => {
-                    up.missed(&e, channel.via(), sent, self.inst.now());
+                    up.record_run_error(&e, channel.peer(), sent, self.inst.now());
                     return match (wrote, e) {
                         (true, RunError::Broken { .. } | RunError::Late) => {
                             unknown("the commit wasn't answered")
@@ -290,7 +290,7 @@
             }
             return match answer.error_code() {
                 None if answer.txn == TxnState::Idle => {
-                    channel.give_back();
+                    channel.release();
                     match wrote {
                         true => self.acknowledge(session, &group, answer).await,
                         false => answer,
@@ -301,7 +301,7 @@
                     Answer::error(ErrorCode::Aborted, "the server refused to commit", TxnState::Idle)
                 }
                 Some(_) if answer.txn == TxnState::Idle => {
-                    channel.give_back();
+                    channel.release();
                     answer
                 }
                 _ => unknown("the commit had no clear answer"),
--- a/crates/engine/src/watcher.rs
+++ b/crates/engine/src/watcher.rs
@@ -144,14 +144,14 @@
         sleep(SWEEP).await;
         let limit = inst.now().saturating_sub(micros(SERVER_EXPIRY));
         for group in inst.groups() {
-            for id in group.expire(limit) {
+            for id in group.remove_expired(limit) {
                 log::info!(group = group.name.as_str(), server = id.as_str(); "server gone");
             }
             // Who comes to change its primary has to know by then whether a replica that came back has caught up.
-            if group.unrecovered().is_some() && is_candidate(&inst) {
-                group.ask_all(inst.now().saturating_sub(micros(SWEEP)));
+            if group.unrecovered_replica().is_some() && is_candidate(&inst) {
+                group.request_statuses(inst.now().saturating_sub(micros(SWEEP)));
             }
-            for it in group.servers().into_iter().filter(|it| it.pool.is_open()) {
+            for it in group.servers().into_iter().filter(|it| it.pool.has_open()) {
                 // What this instance may keep shrinks as others come.
                 inst.place(&it);
                 it.pool.trim(
--- a/crates/engine/src/write.rs
+++ b/crates/engine/src/write.rs
@@ -41,7 +41,7 @@
             let answer = match self.parcel(session, None).run(&self.inst, &up, &mut channel).await {
                 Ok(it) => it,
                 Err(e) => {
-                    up.missed(&e, channel.via(), sent, self.inst.now());
+                    up.record_run_error(&e, channel.peer(), sent, self.inst.now());
                     match e {
                         RunError::Refused => return busy(NO_TIME, TxnState::Idle),
                         RunError::Busy if self.is_held() => return busy("too much to do", TxnState::Idle),
@@ -58,7 +58,7 @@
             };
             self.judge(&group, &up, &answer, sent, &channel);
             if answer.txn == TxnState::Idle && answer.error_code() != Some(ErrorCode::NoStatement) {
-                channel.give_back();
+                channel.release();
             }
             match answer.error_code() {
                 None => return self.acknowledge(session, &group, answer).await,
