--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -17,7 +17,7 @@
 //! | [`update`], [`upload`], [`fetch`] | updates of the configuration and the directory, and their transfer between instances |
 //! | [`group`], [`upstream`] | a group with the evidence about its state, and its servers |
 //! | [`order`] | status queries and orders to servers |
-//! | [`conn`], [`pool`], [`turnstile`] | connections to servers, and permits to use them |
+//! | [`conn`], [`pool`], [`permit_queue`] | connections to servers, and permits to use them |
 //! | [`dispatch`] | permits for an overloaded server, issued by one instance for all |
 //! | [`channel`] | access to a server by a direct connection or through another instance |
 //! | [`message`], [`link`], [`peer`] | messages between instances, links and peers |
@@ -45,6 +45,7 @@
 pub mod order;
 pub mod organisation;
 pub mod peer;
+pub mod permit_queue;
 pub mod pool;
 pub mod ports;
 pub mod progress;
@@ -56,7 +57,6 @@
 pub mod settings;
 pub mod statement;
 pub mod takeover;
-pub mod turnstile;
 pub mod txn;
 pub mod unreadable;
 pub mod update;
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -3,12 +3,12 @@
 use {
     crate::{
         count::Count,
-        group::{Group, sightings},
+        group::{Group, status_reports},
         instance::{Instance, micros},
         message::{Request, Response},
         model::{Order, Status},
         organisation::Owner,
-        pool::{Denied, Want},
+        pool::{ConnRequest, PoolError},
         settings::{MAX_RELAYS, ORDER_TIMEOUT, PRIMARY_POLL_INTERVAL, RELAY_DELAY, STATUS_CONN_TIMEOUT},
         upstream::Upstream,
     },
@@ -20,13 +20,13 @@
 /// directory. Requests that arrive during a query share the next query.
 pub async fn poll_status(inst: Rc<Instance>, group: Rc<Group>, up: Rc<Upstream>) {
     loop {
-        up.nudge.notified().await;
-        if up.is_gone() {
+        up.poll_request.notified().await;
+        if up.is_removed() {
             up.pool.trim(Instant::now(), true);
             return;
         }
-        let since = up.since.take();
-        if sightings::learn(&inst, &group, &up, since).await {
+        let since = up.requested_since.take();
+        if status_reports::fetch(&inst, &group, &up, since).await {
             continue;
         }
         let status = send_order(&inst, &group, &up, &Order::Status).await;
@@ -43,17 +43,17 @@
 pub async fn send_order(inst: &Rc<Instance>, group: &Group, up: &Upstream, order: &Order) -> Option<Status> {
     inst.place(up);
     if !up.is_reachable() {
-        up.probe(inst, group);
+        up.try_reconnect(inst, group);
         return send_relayed(inst, group, up, order).await;
     }
     // Clears the value of an earlier order whose caller stopped waiting.
-    up.sent.set(None);
+    up.pending_since.set(None);
     let direct = send_direct(inst, group, up, order);
     tokio::pin!(direct);
     if let Ok(answer) = timeout(RELAY_DELAY, &mut direct).await {
         return match answer {
             Some(status) => Some(status),
-            None if up.refused().is_some() => None,
+            None if up.refused_since().is_some() => None,
             None => send_relayed(inst, group, up, order).await,
         };
     }
@@ -62,8 +62,8 @@
         Some(status) = &mut direct => Some(status),
         Some(status) = send_relayed(inst, group, up, order) => {
             // Not concluded from an order that still waits for a connection here.
-            if up.sent.get().is_some_and(|at| inst.now() - at >= micros(RELAY_DELAY)) {
-                up.lose("reached through other instances only");
+            if up.pending_since.get().is_some_and(|at| inst.now() - at >= micros(RELAY_DELAY)) {
+                up.mark_unreachable("reached through other instances only");
             }
             Some(status)
         }
@@ -75,23 +75,23 @@
 async fn send_relayed(inst: &Rc<Instance>, group: &Group, up: &Upstream, order: &Order) -> Option<Status> {
     let started = inst.now();
     for _ in 0..MAX_RELAYS {
-        let Some(peer) = up.fit_peer(inst, &Owner::Shared) else { break };
+        let Some(peer) = up.pick_peer(inst, &Owner::Shared) else { break };
         let sent = inst.now();
-        up.asked.set(sent);
+        up.asked_at.set(sent);
         let request = Request::Order { server: up.entry().as_ref().into(), order: order.clone() };
         match timeout(ORDER_TIMEOUT, peer.ask(inst, request)).await {
             Ok(Response::Status(Some(status))) => {
-                group.saw(up, status, sent, inst.now());
+                group.observe_status(up, status, sent, inst.now());
                 return Some(status);
             }
             Ok(Response::Gone) => {
-                up.refuse(inst.now());
+                up.record_refused(inst.now());
                 return None;
             }
-            _ => up.unfit(&peer.name, inst.now(), false),
+            _ => up.back_off_peer(&peer.name, inst.now(), false),
         }
     }
-    up.unanswered(started);
+    up.record_unanswered(started);
     None
 }
 
@@ -119,14 +119,19 @@
     up: &Upstream,
     order: &Order,
 ) -> Result<Status, OrderError> {
-    let want = Want { priority: 0, until: Instant::now() + STATUS_CONN_TIMEOUT, values: None, owner: None };
+    let want = ConnRequest {
+        priority: 0,
+        deadline: Instant::now() + STATUS_CONN_TIMEOUT,
+        values: None,
+        owner: None,
+    };
     let server = up.entry();
-    let mut lease = match up.pool.lend(inst, &server, want).await {
+    let mut lease = match up.pool.acquire(inst, &server, want).await {
         Ok(lease) => lease,
-        Err(Denied::Busy | Denied::Full) => return Err(OrderError::Failed),
-        Err(Denied::Unreachable(e)) => {
+        Err(PoolError::Busy | PoolError::Full) => return Err(OrderError::Failed),
+        Err(PoolError::Unreachable(e)) => {
             log::debug!(server = server.id.as_str(); "{e}");
-            up.failed(inst.now(), e.is_refusal());
+            up.record_connect_failure(inst.now(), e.is_refusal());
             return Err(OrderError::Failed);
         }
     };
@@ -134,27 +139,27 @@
     let sent = inst.now();
     inst.counters.increment(Count::Orders);
     let dialect = inst.adapters.protocol.as_ref();
-    up.asked.set(sent);
-    up.sent.set(Some(sent));
-    let Some(conn) = lease.conn() else { return Err(OrderError::Failed) };
-    let answer = timeout(ORDER_TIMEOUT, conn.order(dialect, order)).await;
-    up.sent.set(None);
+    up.asked_at.set(sent);
+    up.pending_since.set(Some(sent));
+    let Some(conn) = lease.get_mut() else { return Err(OrderError::Failed) };
+    let answer = timeout(ORDER_TIMEOUT, conn.send_order(dialect, order)).await;
+    up.pending_since.set(None);
     let answer = match answer {
         Ok(Ok(answer)) => answer,
         Ok(Err(e)) => {
             log::debug!(server = server.id.as_str(); "{e}");
-            up.unanswered(sent);
+            up.record_unanswered(sent);
             return Err(error);
         }
         Err(_) => {
-            up.failed(sent, false);
+            up.record_connect_failure(sent, false);
             return Err(error);
         }
     };
-    lease.give_back();
-    up.direct.set(true);
-    up.answered(inst.now());
+    lease.release();
+    up.reachable.set(true);
+    up.record_contact(inst.now());
     let status = dialect.decode_status(&answer).ok_or(OrderError::Failed)?;
-    group.saw(up, status, sent, inst.now());
+    group.observe_status(up, status, sent, inst.now());
     Ok(status)
 }
--- a/crates/engine/src/read.rs
+++ b/crates/engine/src/read.rs
@@ -130,7 +130,7 @@
             };
             match self.finish_attempt(&group, attempt) {
                 Outcome::Done(answer, term) => {
-                    if !latest || group.confirm(&self.inst, term, self.arrived_at, self.deadline).await {
+                    if !latest || group.wait_confirmed(&self.inst, term, self.arrived_at, self.deadline).await {
                         drain(pending);
                         return answer;
                     }
@@ -182,7 +182,7 @@
     ) -> Result<PendingAttempt, DispatchError> {
         let requirement = self.requirement(session, group).await?;
         let up = match requirement.mark {
-            Some(_) => group.choose(&self.inst, requirement.since, tried),
+            Some(_) => group.select_server(&self.inst, requirement.since, tried),
             None => None,
         };
         let up = match up {
@@ -212,7 +212,7 @@
         let answer = match result {
             Ok(answer) => answer,
             Err(e) => {
-                up.missed(&e, channel.via(), sent, now);
+                up.record_run_error(&e, channel.peer(), sent, now);
                 return match e {
                     RunError::Busy => Outcome::Busy,
                     RunError::Refused => Outcome::Refused,
@@ -224,7 +224,7 @@
         self.record_answer(group, &up, &answer, sent, &channel);
         requirement.record_lag(&up, &answer, sent, now);
         if answer.txn == TxnState::Idle && answer.error_code() != Some(ErrorCode::NoStatement) {
-            channel.give_back();
+            channel.release();
         }
         match answer.error_code() {
             None => {
@@ -246,7 +246,7 @@
             if let Ok(Attempt { channel, result: Ok(answer), .. }) = timeout(DRAIN_TIMEOUT, attempt).await
                 && answer.txn == TxnState::Idle
             {
-                channel.give_back();
+                channel.release();
             }
         });
     }
--- a/crates/engine/src/report.rs
+++ b/crates/engine/src/report.rs
@@ -25,7 +25,7 @@
     log::info!(sessions = inst.sessions.get(); "counted since the start: {}", text.join(" "));
     let now = inst.now();
     for group in inst.groups().into_iter().filter(|g| g.is_used()) {
-        let servers: Vec<String> = group.servers().iter().map(|s| s.account(now)).collect();
+        let servers: Vec<String> = group.servers().iter().map(|s| s.summary(now)).collect();
         log::info!(group = group.name.as_str(), term = group.term().0; "servers: {}", servers.join("; "));
     }
 }
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        conn::Values,
+        conn::SessionValues,
         count::Count,
         instance::{Instance, Micros, accept_all},
         model::{Access, Answer, CallerMessage, ErrorCode, Route, Statement, StatementKind, TxnState},
@@ -64,7 +64,7 @@
     /// The hash of the key that the session was opened with. Its owner may change with each configuration.
     pub key: KeyHash,
     /// The session values.
-    pub values: Values,
+    pub values: SessionValues,
     /// The named statements, sorted by name.
     pub prepared: Vec<Prepared>,
     /// The log position of the latest acknowledged commit, and the time of the acknowledgement.
@@ -324,7 +324,7 @@
             inst,
             database,
             key,
-            values: Values::default(),
+            values: SessionValues::default(),
             prepared: Vec::new(),
             mark: None,
             txn: Txn::None,
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -2,14 +2,14 @@
 
 use {
     crate::{
-        channel::{Channel, Direct, NoWay, RunError, Sending, What},
-        conn::Values,
+        channel::{Channel, ChannelRequest, CommandRef, Direct, DirectError, RunError},
+        conn::SessionValues,
         count::Count,
         group::Group,
         instance::{Instance, Micros, micros},
         model::{Answer, ErrorCode, ReadPolicy, Route, Statement, StatementKind, TxnState},
         organisation::Owner,
-        pool::Want,
+        pool::ConnRequest,
         ports::{Forward, Text},
         progress::Progress,
         session::{Prepared, Session, error_text},
@@ -58,7 +58,7 @@
     text: Bytes,
     /// The position that the server's log must have reached.
     min_position: Option<LogPosition>,
-    values: Values,
+    values: SessionValues,
     named: Option<Prepared>,
     rank: Rank,
     /// The latency in microseconds above which the statement counts as slow.
@@ -85,15 +85,15 @@
             Some(named) => Text::Execute { name: &named.alias, args: &self.text },
             None => Text::Plain(&self.text),
         };
-        let what = What::Forward(Forward { id: &self.id, text, after: self.min_position });
-        let sending = Sending {
+        let what = CommandRef::Statement(Forward { id: &self.id, text, after: self.min_position });
+        let sending = ChannelRequest {
             values: Some(&self.values),
             named: self.named.as_ref(),
-            what,
+            command: what,
             rank: Some(self.rank),
-            slow: self.slow_threshold,
-            overdue: up.overdue(inst.now()),
-            end: self.deadline,
+            slow_after: self.slow_threshold,
+            stall_timeout: up.stall_timeout(inst.now()),
+            deadline: self.deadline,
             progress: Some(&self.progress),
         };
         let answer = channel.run(inst, sending);
@@ -101,7 +101,7 @@
         match timeout(LIVENESS_CHECK_DELAY, &mut answer).await {
             Ok(result) => result,
             Err(_) => {
-                up.ask_after(inst.now().saturating_sub(micros(LIVENESS_CHECK_DELAY)));
+                up.request_status_since(inst.now().saturating_sub(micros(LIVENESS_CHECK_DELAY)));
                 answer.await
             }
         }
@@ -125,8 +125,8 @@
         }
         let age = sent.saturating_sub(self.since);
         match answer.error_code() {
-            None => up.holds(age, true, now),
-            Some(ErrorCode::Lagging) => up.holds(age, false, now),
+            None => up.record_lag(age, true, now),
+            Some(ErrorCode::Lagging) => up.record_lag(age, false, now),
             Some(_) => {}
         }
     }
@@ -186,7 +186,7 @@
             return Ok(ReadRequirement { mark: None, since: 0 });
         };
         let required = group
-            .needed(&self.inst, age.saturating_sub(STALENESS_MARGIN), self.wait_deadline(Wait::Evidence))
+            .required_position(&self.inst, age.saturating_sub(STALENESS_MARGIN), self.wait_deadline(Wait::Evidence))
             .await;
         let (since, mark) = required.ok_or_else(|| self.out_of_time(Wait::Evidence))?;
         let own = session.mark.filter(|_| matches!(self.route.policy, ReadPolicy::OwnWrites(_)));
@@ -226,35 +226,35 @@
             return self.relay(up, deadline).await;
         }
         // Transactions may occupy this instance's connections for long, while other instances have free ones.
-        if up.pool.is_pinned()
+        if up.pool.is_all_pinned()
             && let Ok(channel) = self.relay(up, deadline).await
         {
             return Ok(channel);
         }
-        let want = Want {
+        let want = ConnRequest {
             priority: self.route.priority,
-            until: deadline,
+            deadline: until: deadline,
             values: Some(session.values.clone()),
             owner: Some(self.owner.clone()),
         };
-        match Direct::reach(&self.inst, up, Some(self.rank_at(up)), self.slow_threshold(), want).await {
+        match Direct::open(&self.inst, up, Some(self.rank_at(up)), self.slow_threshold(), want).await {
             Ok(direct) => Ok(Channel::Direct(direct)),
-            Err(NoWay::Refused) => Err(DispatchError::OutOfTime(SERVER_OVERLOADED, None)),
-            Err(NoWay::Late(wait)) if self.is_overdue() => Err(self.out_of_time(wait)),
-            Err(NoWay::Late(_)) => Err(DispatchError::Retry),
-            Err(NoWay::Full) => self.relay(up, deadline).await,
-            Err(NoWay::Unreachable(e)) => {
+            Err(DirectError::Refused) => Err(DispatchError::OutOfTime(SERVER_OVERLOADED, None)),
+            Err(DirectError::TimedOut(wait)) if self.is_overdue() => Err(self.out_of_time(wait)),
+            Err(DirectError::TimedOut(_)) => Err(DispatchError::Retry),
+            Err(DirectError::Full) => self.relay(up, deadline).await,
+            Err(DirectError::Unreachable(e)) => {
                 if self.inst.may_log() {
                     log::info!(server = up.entry().id.as_str(); "{e}");
                 }
-                up.failed(self.inst.now(), e.is_refusal());
+                up.record_connect_failure(self.inst.now(), e.is_refusal());
                 Err(DispatchError::Retry)
             }
         }
     }
 
     async fn relay(&self, up: &Upstream, deadline: Instant) -> Result<Channel, DispatchError> {
-        let relayed = up.relay(&self.inst, &self.owner, deadline).await;
+        let relayed = up.open_relayed(&self.inst, &self.owner, deadline).await;
         relayed.map(Channel::Relayed).ok_or(DispatchError::Retry)
     }
 
@@ -335,7 +335,7 @@
     fn rank_at(&self, up: &Upstream) -> Rank {
         let rank = self.rank();
         Rank {
-            soft_deadline: rank.soft_deadline.saturating_sub(up.pace.get().get(self.inst.now()) as Micros),
+            soft_deadline: rank.soft_deadline.saturating_sub(up.latency.get().get(self.inst.now()) as Micros),
             ..rank
         }
     }
@@ -373,13 +373,18 @@
         sent: Micros,
         channel: &Channel,
     ) {
-        let direct = channel.via().is_none();
-        up.judge(&self.inst, group, answer, Exchange { sent, slow: self.slow_threshold(), direct });
+        let direct = channel.peer().is_none();
+        up.record_answer(
+            &self.inst,
+            group,
+            answer,
+            Exchange { sent_at: sent, slow_after: self.slow_threshold(), direct },
+        );
         match answer.error_code() {
             None => {
                 self.inst.counters.increment(Count::Statements);
                 let latency = self.inst.now() - sent;
-                self.inst.spent(&self.route.database, latency, channel.is_queued());
+                self.inst.spent(&self.route.database, latency, channel.has_queue());
             }
             Some(ErrorCode::Busy) => self.inst.counters.increment(Count::ServerBusy),
             Some(ErrorCode::Lagging) => self.inst.counters.increment(Count::ServerLagging),
@@ -392,7 +397,7 @@
     pub async fn acknowledge_commit(&self, session: &mut Session, group: &Group, answer: Answer) -> Answer {
         let Some(mark) = answer.mark else { return answer };
         let started = Instant::now();
-        let replicated = group.replicated(&self.inst, mark.term, mark.lsn, self.deadline).await;
+        let replicated = group.wait_replicated(&self.inst, mark.term, mark.lsn, self.deadline).await;
         self.inst.counters.record_replication_wait(started.elapsed());
         if !replicated {
             return unknown_outcome("the commit isn't known to last");
--- a/crates/engine/src/txn.rs
+++ b/crates/engine/src/txn.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        channel::{Channel, RunError, Sending, What},
+        channel::{Channel, ChannelRequest, CommandRef, RunError},
         count::Count,
         group::Group,
         instance::{Instance, Micros},
@@ -106,16 +106,16 @@
     pub async fn discard(&mut self) {
         if let Txn::Open(txn) = std::mem::replace(self, Txn::None) {
             let OpenTxn { inst, mut channel, .. } = *txn;
-            let what = What::Order(&Order::Rollback, None);
+            let what = CommandRef::Order(&Order::Rollback, None);
             let end = Instant::now() + ORDER_TIMEOUT;
-            let sending = Sending {
+            let sending = ChannelRequest {
                 values: None,
                 named: None,
-                what,
+                command: what,
                 rank: None,
-                slow: Micros::MAX,
-                overdue: ORDER_TIMEOUT,
-                end,
+                slow_after: Micros::MAX,
+                stall_timeout: ORDER_TIMEOUT,
+                deadline: end,
                 progress: None,
             };
             // Without a confirmation the connection is closed, and the server rolls back too.
@@ -123,7 +123,7 @@
                 && answer.is_done()
                 && answer.txn == TxnState::Idle
             {
-                channel.give_back();
+                channel.release();
             }
         }
     }
@@ -168,7 +168,7 @@
     ) -> Result<OpenTxn, Option<Answer>> {
         let requirement = self.requirement(session, group).await.map_err(|e| self.refusal(e))?;
         let chosen = match (access, requirement.mark) {
-            (Access::Read, Some(_)) => group.choose(&self.inst, requirement.since, tried),
+            (Access::Read, Some(_)) => group.select_server(&self.inst, requirement.since, tried),
             _ => None,
         };
         let up = match chosen {
@@ -185,7 +185,7 @@
         let answer = match request.run(&self.inst, &up, &mut channel).await {
             Ok(answer) => answer,
             Err(e) => {
-                up.missed(&e, channel.via(), sent, self.inst.now());
+                up.record_run_error(&e, channel.peer(), sent, self.inst.now());
                 let refused = matches!(e, RunError::Refused);
                 return Err(refused.then(|| busy(SERVER_OVERLOADED, TxnState::Idle)));
             }
@@ -196,13 +196,13 @@
             None => {}
             Some(code) => {
                 if answer.txn == TxnState::Idle {
-                    channel.give_back();
+                    channel.release();
                 }
                 return Err((!code.is_not_run() && code != ErrorCode::Failed).then_some(answer));
             }
         }
         if self.route.policy == ReadPolicy::Latest
-            && !group.confirm(&self.inst, term, self.arrived_at, self.deadline).await
+            && !group.wait_confirmed(&self.inst, term, self.arrived_at, self.deadline).await
         {
             // After a failover, the next attempt goes to the new primary.
             return Err((group.term() == term).then(|| busy(PRIMARY_UNCONFIRMED, TxnState::Idle)));
@@ -231,7 +231,7 @@
             let answer = match request.run(&self.inst, &txn.up, &mut txn.channel).await {
                 Ok(answer) => answer,
                 Err(e) => {
-                    txn.up.missed(&e, txn.channel.via(), sent, self.inst.now());
+                    txn.up.record_run_error(&e, txn.channel.peer(), sent, self.inst.now());
                     session.txn.abort("the server didn't answer");
                     return session.txn.report_abort();
                 }
@@ -242,7 +242,7 @@
                 && answer.txn == TxnState::Open;
             if retry && Instant::now() < self.deadline {
                 if answer.error_code() == Some(ErrorCode::NoStatement) {
-                    txn.channel.forget_prepared();
+                    txn.channel.clear_prepared();
                 }
                 self.back_off(&mut backoff).await;
                 continue;
@@ -275,7 +275,7 @@
             let answer = match request.run(&self.inst, &up, &mut channel).await {
                 Ok(answer) => answer,
                 Err(e) => {
-                    up.missed(&e, channel.via(), sent, self.inst.now());
+                    up.record_run_error(&e, channel.peer(), sent, self.inst.now());
                     return match (wrote, e) {
                         (true, RunError::Broken { .. } | RunError::Late) => {
                             unknown_outcome("the commit wasn't answered")
@@ -298,7 +298,7 @@
             }
             return match answer.error_code() {
                 None if answer.txn == TxnState::Idle => {
-                    channel.give_back();
+                    channel.release();
                     match wrote {
                         true => self.acknowledge_commit(session, &group, answer).await,
                         false => answer,
@@ -309,7 +309,7 @@
                     Answer::error(ErrorCode::Aborted, "the server refused to commit", TxnState::Idle)
                 }
                 Some(_) if answer.txn == TxnState::Idle => {
-                    channel.give_back();
+                    channel.release();
                     answer
                 }
                 _ => unknown_outcome("the commit had no clear answer"),
--- a/crates/engine/src/watcher.rs
+++ b/crates/engine/src/watcher.rs
@@ -150,15 +150,15 @@
         sleep(SWEEP_INTERVAL).await;
         let limit = inst.now().saturating_sub(micros(SERVER_EXPIRY));
         for group in inst.groups() {
-            for id in group.expire(limit) {
+            for id in group.remove_expired(limit) {
                 log::info!(group = group.name.as_str(), server = id.as_str(); "server gone");
             }
             // Before a failover of this group, an instance that may lead it has to know if a replica that came
             // back has caught up.
-            if group.unrecovered().is_some() && is_candidate(&inst) {
-                group.ask_all(inst.now().saturating_sub(micros(SWEEP_INTERVAL)));
+            if group.unrecovered_replica().is_some() && is_candidate(&inst) {
+                group.request_statuses(inst.now().saturating_sub(micros(SWEEP_INTERVAL)));
             }
-            for server in group.servers().into_iter().filter(|s| s.pool.is_open()) {
+            for server in group.servers().into_iter().filter(|s| s.pool.has_open()) {
                 // The share of this instance shrinks as other instances join.
                 inst.place(&server);
                 server.pool.trim(
--- a/crates/engine/src/write.rs
+++ b/crates/engine/src/write.rs
@@ -41,7 +41,7 @@
             let answer = match self.request(session, None).run(&self.inst, &up, &mut channel).await {
                 Ok(answer) => answer,
                 Err(e) => {
-                    up.missed(&e, channel.via(), sent, self.inst.now());
+                    up.record_run_error(&e, channel.peer(), sent, self.inst.now());
                     match e {
                         RunError::Refused => return busy(SERVER_OVERLOADED, TxnState::Idle),
                         RunError::Busy if self.is_overdue() => return busy("too much to do", TxnState::Idle),
@@ -62,7 +62,7 @@
             };
             self.record_answer(&group, &up, &answer, sent, &channel);
             if answer.txn == TxnState::Idle && answer.error_code() != Some(ErrorCode::NoStatement) {
-                channel.give_back();
+                channel.release();
             }
             match answer.error_code() {
                 None => return self.acknowledge_commit(session, &group, answer).await,
