--- a/crates/engine/src/leaders.rs
+++ b/crates/engine/src/leaders.rs
@@ -1,8 +1,8 @@
-//! The record of who led each group, in the store.
+//! Leader records: the last known leader of each group, kept in the store.
 //!
-//! A holder of the lease that never heard a group's primary knows its term from the replicas, but not which server leads
-//! it. So whoever holds the lease writes down whom it saw lead: one call of the store for each group and term. A group
-//! has a record before the first promotion in it is ordered, so where there is none, the first primary still leads.
+//! A lease holder that has had no contact with a group's primary learns the term from the replicas, but not which server
+//! leads it. The lease holder therefore records each leader that it sees, with one call of the store per group and term. A
+//! group has a record before the first promotion in the group is ordered; without a record, the first primary still leads.
 
 use {
     crate::{
@@ -25,198 +25,207 @@
     },
 };
 
-/// Pause after a call of the store without a result, as each has its price.
-const PAUSE: Duration = Duration::from_millis(400);
-/// How long a change of primary waits for its group's first record: a store that is slow answers within 400 ms.
-const FIRST_LIMIT: Duration = Duration::from_millis(500);
+/// Delay after a failed call of the store, because each call incurs a cost.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Time for which a failover waits for the group's first record. A slow store answers within 400 ms.
+const FIRST_RECORD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What is recorded, as far as this instance knows.
+/// The leader records as last read or written by this instance.
 #[derive(Default)]
 pub struct Leaders {
-    read: RefCell<Option<Read>>,
-    /// First records that changes of primary wait for.
-    wanted: RefCell<Vec<(Name, LeaderRecord)>>,
-    /// Whether the store is being called.
+    cache: RefCell<Option<Cache>>,
+    /// First records of groups that failovers wait for.
+    requested: RefCell<Vec<(Name, LeaderRecord)>>,
+    /// True while the store is called.
     calling: Cell<bool>,
-    /// No call before this.
-    pause: Cell<Micros>,
+    /// Earliest time of the next call.
+    retry_at: Cell<Micros>,
     changed: Notify,
 }
 
-/// What was read, and written since.
-struct Read {
-    /// The lease's token at that time: under another one somebody else may have written.
+/// The records read, updated by later writes.
+struct Cache {
+    /// The lease's fencing token at the time of the read. Under another token, another instance may have written records.
     token: u64,
     /// Sorted by group.
-    known: Vec<Known>,
+    records: Vec<StoredRecord>,
 }
 
 /// A group's record.
-struct Known {
+struct StoredRecord {
     group: Name,
     revision: Revision,
     leader: LeaderRecord,
 }
 
-/// A record that is to be written.
-struct Due {
+/// A pending write of a record.
+struct PendingWrite {
     group: Name,
-    /// The store's revision of the one that it replaces.
+    /// The revision of the record to replace; none if there must be no record.
     revision: Option<Revision>,
     leader: LeaderRecord,
 }
 
 impl Leaders {
-    /// Reads the records, or writes down what is new, if there is anything to do and this instance holds the lease.
+    /// Reads the records, or writes those that are missing or outdated, if this instance holds the lease. Does nothing while
+    /// an earlier call is in flight.
     pub fn keep(&self, inst: &Rc<Instance>) {
         let now = inst.now();
         let Some(token) = inst.token() else { return };
-        if self.calling.get() || now < self.pause.get() {
+        if self.calling.get() || now < self.retry_at.get() {
             return;
         }
-        let due = self.with_known(inst, |known| self.due(inst, known));
-        if due.as_ref().is_some_and(Vec::is_empty) {
+        let writes = self.with_records(inst, |records| self.pending_writes(inst, records));
+        if writes.as_ref().is_some_and(Vec::is_empty) {
             return;
         }
         self.calling.set(true);
         let inst = inst.clone();
         tokio::task::spawn_local(async move {
-            let it = &inst.leaders;
-            let called = match due {
-                Some(due) => it.write_all(&inst, due).await,
-                None => it.read(&inst, token).await,
+            let leaders = &inst.leaders;
+            let result = match writes {
+                Some(writes) => leaders.write_all(&inst, writes).await,
+                None => leaders.read(&inst, token).await,
             };
-            if let Err(e) = called {
+            if let Err(e) = result {
                 inst.counters.increment(Count::StoreFailures);
-                log::info!(step = "leaders"; "who led isn't recorded yet: {e}");
-                it.pause.set(inst.now() + micros(PAUSE));
+                log::info!(step = "leaders"; "leader records not read or written, will be retried: {e}");
+                leaders.retry_at.set(inst.now() + micros(RETRY_DELAY));
             }
-            it.calling.set(false);
-            it.changed.notify_waiters();
+            leaders.calling.set(false);
+            leaders.changed.notify_waiters();
         });
     }
 
-    /// Looks at the records, if they were read under this instance's lease.
-    fn with_known<T>(&self, inst: &Instance, look: impl FnOnce(&[Known]) -> T) -> Option<T> {
+    /// Applies `f` to the records; none if they weren't read under this instance's current lease.
+    fn with_records<T>(&self, inst: &Instance, f: impl FnOnce(&[StoredRecord]) -> T) -> Option<T> {
         let token = inst.token()?;
-        let read = self.read.borrow();
-        read.as_ref().filter(|it| it.token == token).map(|it| look(&it.known))
+        let cache = self.cache.borrow();
+        cache.as_ref().filter(|cache| cache.token == token).map(|cache| f(&cache.records))
     }
 
     async fn read(&self, inst: &Instance, token: u64) -> Result<(), StoreError> {
         inst.counters.increment(Count::StoreCalls);
         let all = inst.adapters.store.list(Collection::Leaders, false).await?;
-        let mut known: Vec<Known> = all.items.into_iter().filter_map(decode).collect();
-        known.sort_by(|a, b| a.group.cmp(&b.group));
-        self.read.replace(Some(Read { token, known }));
+        let mut records: Vec<StoredRecord> = all.items.into_iter().filter_map(decode).collect();
+        records.sort_by(|a, b| a.group.cmp(&b.group));
+        self.cache.replace(Some(Cache { token, records }));
         Ok(())
     }
 
-    /// Records to be written: of groups with a primary that is newer than its record, and those that are waited for.
-    fn due(&self, inst: &Instance, known: &[Known]) -> Vec<Due> {
-        let record = |group: &str| find(known, group).ok().map(|at| &known[at]);
-        let seen = inst.groups().into_iter().filter_map(|it| {
-            let (leader, old) = (it.leader()?, record(&it.name));
-            let is_new = old.is_none_or(|it| it.leader.is_older_than(&leader));
-            is_new.then(|| Due { group: it.name.clone(), revision: old.map(|it| it.revision), leader })
+    /// Returns the records to write: those of groups whose primary is newer than the record, and requested first records.
+    fn pending_writes(&self, inst: &Instance, records: &[StoredRecord]) -> Vec<PendingWrite> {
+        let record = |group: &str| find(records, group).ok().map(|at| &records[at]);
+        let outdated = inst.groups().into_iter().filter_map(|group| {
+            let (leader, old) = (group.leader()?, record(&group.name));
+            let is_new = old.is_none_or(|old| old.leader.is_older_than(&leader));
+            is_new.then(|| PendingWrite {
+                group: group.name.clone(),
+                revision: old.map(|old| old.revision),
+                leader,
+            })
         });
-        let mut due: Vec<Due> = seen.collect();
-        let mut wanted = self.wanted.borrow_mut();
-        wanted.retain(|it| record(&it.0).is_none() && due.iter().all(|due| due.group != it.0));
-        let first =
-            |it: &(Name, LeaderRecord)| Due { group: it.0.clone(), revision: None, leader: it.1.clone() };
-        due.extend(wanted.iter().map(first));
-        due
+        let mut writes: Vec<PendingWrite> = outdated.collect();
+        let mut requested = self.requested.borrow_mut();
+        requested.retain(|r| record(&r.0).is_none() && writes.iter().all(|w| w.group != r.0));
+        let first = |request: &(Name, LeaderRecord)| PendingWrite {
+            group: request.0.clone(),
+            revision: None,
+            leader: request.1.clone(),
+        };
+        writes.extend(requested.iter().map(first));
+        writes
     }
 
-    async fn write_all(&self, inst: &Instance, due: Vec<Due>) -> Result<(), StoreError> {
-        for it in due {
-            self.write(inst, it).await?;
+    async fn write_all(&self, inst: &Instance, writes: Vec<PendingWrite>) -> Result<(), StoreError> {
+        for write in writes {
+            self.write(inst, write).await?;
         }
         Ok(())
     }
 
-    async fn write(&self, inst: &Instance, due: Due) -> Result<(), StoreError> {
+    async fn write(&self, inst: &Instance, write: PendingWrite) -> Result<(), StoreError> {
         inst.counters.increment(Count::StoreCalls);
-        let Due { group, revision, leader } = due;
+        let PendingWrite { group, revision, leader } = write;
         let record = Record::Leader(leader.clone());
         let put = inst.adapters.store.put(Collection::Leaders, group.clone(), record, revision).await;
         let found = match put {
-            Ok(revision) => Some(Known { group, revision, leader }),
-            // By another holder, or by an earlier call whose answer was lost.
-            Err(StoreError::Conflict { current }) => current.and_then(|it| decode(*it)),
+            Ok(revision) => Some(StoredRecord { group, revision, leader }),
+            // Written by another lease holder, or by an earlier call whose answer was lost.
+            Err(StoreError::Conflict { current }) => current.and_then(|object| decode(*object)),
             Err(StoreError::Missing) => None,
             Err(e) => return Err(e),
         };
         match found {
-            Some(it) => self.take(it),
-            // What it met was removed, or wasn't sent: all is read again.
-            None => drop(self.read.take()),
+            Some(record) => self.insert(record),
+            // The conflicting record was removed, or the answer doesn't contain it: all records are read again.
+            None => drop(self.cache.take()),
         }
         Ok(())
     }
 
-    fn take(&self, it: Known) {
-        if let Some(Read { known, .. }) = &mut *self.read.borrow_mut() {
-            match find(known, &it.group) {
-                Ok(at) => known[at] = it,
-                Err(at) => known.insert(at, it),
+    fn insert(&self, record: StoredRecord) {
+        if let Some(Cache { records, .. }) = &mut *self.cache.borrow_mut() {
+            match find(records, &record.group) {
+                Ok(at) => records[at] = record,
+                Err(at) => records.insert(at, record),
             }
         }
     }
 
-    /// The server that leads a group's newest term, where that is proved although it gives no answer here.
+    /// Returns the leader of a group's latest term if the records and the servers' entries prove it, although the leader
+    /// doesn't answer this instance.
     pub fn proved(&self, inst: &Instance, group: &Group) -> Option<Name> {
         let servers = group.servers();
-        let entries = servers.iter().map(|it| it.entry());
-        let claims: Vec<Name> =
-            entries.filter(|it| it.role == Some(Role::Primary)).map(|it| it.id.clone()).collect();
+        let entries = servers.iter().map(|server| server.entry());
+        let claimants: Vec<Name> =
+            entries.filter(|entry| entry.role == Some(Role::Primary)).map(|entry| entry.id.clone()).collect();
         let (term, complete) = (group.term(), inst.tenure.is_complete());
-        self.with_known(inst, |known| {
-            let record = find(known, &group.name).ok().map(|at| &known[at].leader);
-            LeaderEvidence { term, record, complete, claimants: &claims }.leader().cloned()
+        self.with_records(inst, |records| {
+            let record = find(records, &group.name).ok().map(|at| &records[at].leader);
+            LeaderEvidence { term, record, complete, claimants: &claimants }.leader().cloned()
         })?
     }
 
-    /// Waits until a group has a record: `leader` if it had none. Hands it back; none if the store doesn't answer in
-    /// time, or the lease is lost.
+    /// Waits until a group has a record and returns the record; `leader` is written if there is none. Returns none if the
+    /// store doesn't answer in time or the lease is lost.
     pub async fn ensure(
         &self,
         inst: &Rc<Instance>,
         group: &Name,
         leader: LeaderRecord,
     ) -> Option<LeaderRecord> {
-        let end = Instant::now() + FIRST_LIMIT;
+        let deadline = Instant::now() + FIRST_RECORD_TIMEOUT;
         loop {
             let changed = self.changed.notified();
-            let known =
-                self.with_known(inst, |known| find(known, group).ok().map(|at| known[at].leader.clone()));
-            if let Some(it) = known.flatten() {
-                return Some(it);
+            let known = self
+                .with_records(inst, |records| find(records, group).ok().map(|at| records[at].leader.clone()));
+            if let Some(record) = known.flatten() {
+                return Some(record);
             }
-            let mut wanted = self.wanted.take();
-            wanted.retain(|it| it.0 != *group);
-            wanted.push((group.clone(), leader.clone()));
-            self.wanted.replace(wanted);
+            let mut requested = self.requested.take();
+            requested.retain(|request| request.0 != *group);
+            requested.push((group.clone(), leader.clone()));
+            self.requested.replace(requested);
             self.keep(inst);
-            timeout_at(end, changed).await.ok()?;
+            timeout_at(deadline, changed).await.ok()?;
         }
     }
 }
 
-fn find(known: &[Known], group: &str) -> Result<usize, usize> {
-    known.binary_search_by(|it| it.group.as_str().cmp(group))
+fn find(records: &[StoredRecord], group: &str) -> Result<usize, usize> {
+    records.binary_search_by(|record| record.group.as_str().cmp(group))
 }
 
-fn decode(it: Object) -> Option<Known> {
-    let Object { name: group, revision, record } = it;
+fn decode(object: Object) -> Option<StoredRecord> {
+    let Object { name: group, revision, record } = object;
     let leader = match record? {
-        Record::Leader(it) => it,
-        // It says nothing of who led, but that there was a record; the next one replaces it.
+        Record::Leader(leader) => leader,
+        // The record doesn't name the leader, but shows that there was a record. The next write replaces it.
         other => {
-            log::error!(group = group.as_str(); "the record of who led is unreadable: {other:?}");
+            log::error!(group = group.as_str(); "unexpected leader record: {other:?}");
             LeaderRecord { term: Term(0), server: None }
         }
     };
-    Some(Known { group, revision, leader })
+    Some(StoredRecord { group, revision, leader })
 }
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -1,5 +1,5 @@
-//! The right to give orders to promote: one instance has it at a time. What is decided is in [`pondtrack_core::lease`]; here
-//! are the calls of the store.
+//! Acquires and renews the failover lease, which allows one instance at a time to order promotions. The decisions are made
+//! by [`pondtrack_core::lease`]; this module calls the store.
 
 use {
     crate::{
@@ -13,162 +13,166 @@
     tokio::time::{sleep, timeout},
 };
 
-/// The record's name.
+/// Name of the lease's record in the store.
 const NAME: &str = "failover";
-/// Between two renewals.
-const RENEW: Duration = Duration::from_millis(400);
-/// The longest wait for a renewal's answer; a lost one is found out by the next.
-const RENEW_LIMIT: Duration = Duration::from_millis(500);
-/// Between two looks of the others, which read at a tenth of the price while every group has its primary.
-const LOOK: Duration = Duration::from_millis(600);
-/// The same for those of a large fleet that only look because they hear of nobody who watches the store.
-const LONG_LOOK: Duration = Duration::from_millis(1_800);
-/// With fewer other instances than this all of them look, so that one on the right side of a partition does.
-const ALL_LOOK: usize = 16;
-/// After the store came back from a copy, answers that may be old could be from before for as long as this.
-const STALE_AGE: Duration = Duration::from_millis(10_000);
-
-/// The right as this instance has it.
+/// Interval between renewals.
+const RENEW_INTERVAL: Duration = Duration::from_millis(400);
+/// Timeout of a renewal. A renewal whose answer was lost is recognised by the next one.
+const RENEW_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which instances without the lease poll its record. While every group has a primary, the reads may be stale,
+/// which costs a tenth of a consistent read.
+const POLL_INTERVAL: Duration = Duration::from_millis(600);
+/// Poll interval in a large fleet for instances that only poll because no known instance watches the store.
+const FALLBACK_POLL_INTERVAL: Duration = Duration::from_millis(1_800);
+/// With fewer other instances than this, all instances poll, so that an instance on the store's side of a partition does.
+const MIN_LARGE_FLEET: usize = 16;
+/// Time for which stale reads may still return data from before the store was restored from a copy.
+const MAX_STALENESS: Duration = Duration::from_millis(10_000);
+
+/// The lease as held by this instance.
 #[derive(Default)]
 pub struct Tenure {
     held: Cell<Option<HeldLease>>,
 }
 
 impl Tenure {
-    /// The fencing token, while orders may be given under it in an era of the store.
+    /// Returns the fencing token if the lease was granted in `era` of the store and hasn't expired.
     pub fn token(&self, era: u64, now: Micros) -> Option<u64> {
-        self.held.get().filter(|it| now < it.expires_at && it.era == era).map(|it| it.token)
+        self.held.get().filter(|held| now < held.expires_at && held.era == era).map(|held| held.token)
     }
 
-    /// Whether every holder so far recorded a group in [`crate::leaders`] before its first promotion.
+    /// Returns true if every holder so far recorded a group's leader in [`crate::leaders`] before ordering the first
+    /// promotion in the group.
     pub fn is_complete(&self) -> bool {
-        self.held.get().is_some_and(|it| it.complete)
+        self.held.get().is_some_and(|held| held.complete)
     }
 }
 
-/// The work of keeping, or waiting for, the right.
-struct Keeper {
+/// Acquires and renews the lease for an instance.
+struct LeaseManager {
     inst: Rc<Instance>,
     lease: Lease,
-    /// When the store was last found to have come back from an older copy.
-    returned: Option<Micros>,
-    /// Whether the last write had no result.
+    /// Time at which the store was last seen to be restored from an older copy.
+    restored_at: Option<Micros>,
+    /// True if the last write had no result.
     failing: bool,
 }
 
-/// Keeps the right, or takes it when it is free, for good.
+/// Acquires the lease when it is free and renews it, until the instance drains; then releases it.
 pub async fn keep(inst: Rc<Instance>) {
     let lease = Lease::new(inst.settings.name.clone(), inst.settings.first_start, inst.now());
-    let mut it = Keeper { inst: inst.clone(), lease, returned: None, failing: false };
+    let mut manager = LeaseManager { inst: inst.clone(), lease, restored_at: None, failing: false };
     while inst.leaving().is_none() {
-        let pause = it.step().await;
-        sleep(pause + Duration::from_millis(inst.random(100))).await;
+        let delay = manager.step().await;
+        sleep(delay + Duration::from_millis(inst.random(100))).await;
     }
-    it.release().await;
+    manager.release().await;
 }
 
-/// Whether an instance may come to hold the right: in a large fleet those who watch the store for all are enough to find it
-/// free.
+/// Returns true if an instance may acquire the lease. In a large fleet, the instances that watch the store on behalf of all
+/// others are enough to notice that it is free.
 pub fn is_candidate(inst: &Instance) -> bool {
-    is_one_of_few(inst) || inst.distribution.must_watch(inst)
+    is_small_fleet(inst) || inst.distribution.must_watch(inst)
 }
 
-fn is_one_of_few(inst: &Instance) -> bool {
-    inst.peers().map_or(0, |it| it.len()) < ALL_LOOK
+fn is_small_fleet(inst: &Instance) -> bool {
+    inst.peers().map_or(0, |peers| peers.len()) < MIN_LARGE_FLEET
 }
 
-impl Keeper {
+impl LeaseManager {
     async fn step(&mut self) -> Duration {
-        self.note_era();
+        self.observe_era();
         if self.lease.held().is_some() {
             self.write().await;
-            // Past its time nothing is lost by asking more rarely.
-            return if self.inst.token().is_none() { LOOK } else { RENEW };
+            // An expired lease needn't be renewed as often.
+            return if self.inst.token().is_none() { POLL_INTERVAL } else { RENEW_INTERVAL };
         }
-        let pause = match () {
-            () if self.inst.distribution.is_bootstrapping(&self.inst) => return RENEW,
-            () if is_one_of_few(&self.inst) || self.inst.distribution.is_watcher(&self.inst) => LOOK,
-            () if is_candidate(&self.inst) => LONG_LOOK,
-            () => return LOOK,
+        let delay = match () {
+            () if self.inst.distribution.is_bootstrapping(&self.inst) => return RENEW_INTERVAL,
+            () if is_small_fleet(&self.inst) || self.inst.distribution.is_watcher(&self.inst) => {
+                POLL_INTERVAL
+            }
+            () if is_candidate(&self.inst) => FALLBACK_POLL_INTERVAL,
+            () => return POLL_INTERVAL,
         };
-        self.look().await;
+        self.poll().await;
         if self.lease.can_acquire(self.inst.now()) {
             self.write().await;
             if let Some(token) = self.inst.token() {
                 log::info!(token; "the right to promote is taken");
             }
         }
-        pause
+        delay
     }
 
-    /// Takes in which era of the store it is.
-    fn note_era(&mut self) {
+    /// Records the store's era. The lease of an earlier era is lost.
+    fn observe_era(&mut self) {
         let Some(era) = self.inst.era() else { return };
         let now = self.inst.now();
-        let had = self.lease.held().is_some();
+        let was_held = self.lease.held().is_some();
         if self.lease.observe_era(era, now) {
-            self.returned = Some(now);
+            self.restored_at = Some(now);
             self.inst.counters.increment(Count::StoreReturns);
-            log::warn!(era, had; "the store came back from an older copy: what it granted before is over");
+            log::warn!(era, had = was_held; "the store was restored from an older copy: leases granted before are void");
         }
-        self.show();
+        self.publish();
     }
 
-    /// Shows the others of this instance what is held.
-    fn show(&self) {
+    /// Publishes the lease's state to the other parts of the instance.
+    fn publish(&self) {
         self.inst.tenure.held.set(self.lease.held());
     }
 
-    async fn look(&mut self) {
-        let sent = self.inst.now();
+    async fn poll(&mut self) {
+        let sent_at = self.inst.now();
         self.inst.counters.increment(Count::StoreCalls);
-        let returned = self.returned.is_some_and(|at| sent - at < STALE_AGE.as_micros() as Micros);
-        // An old answer would hide for seconds that the holder is lost, just when it is missed.
-        let stale = !self.inst.lacks_primary() && !returned;
+        let restored = self.restored_at.is_some_and(|at| sent_at - at < MAX_STALENESS.as_micros() as Micros);
+        // A stale answer could hide the loss of the holder for seconds, just when a failover is needed.
+        let stale = !self.inst.lacks_primary() && !restored;
         match self.inst.adapters.store.list(Collection::Leases, stale).await {
-            Ok(it) => {
-                self.note_era();
-                let found = it.items.into_iter().find(|it| it.name == NAME);
-                self.lease.observe(found.and_then(record), sent, self.inst.now());
+            Ok(list) => {
+                self.observe_era();
+                let found = list.items.into_iter().find(|object| object.name == NAME);
+                self.lease.observe(found.and_then(decode), sent_at, self.inst.now());
             }
             Err(e) => log::debug!(step = "lease"; "{e}"),
         }
     }
 
-    /// Takes the right, or renews it; what becomes of that decides whether this instance holds it.
+    /// Acquires or renews the lease. The result of the conditional write decides if this instance holds the lease.
     async fn write(&mut self) {
-        let (nonce, sent) = (self.inst.random(u64::MAX), self.inst.now());
-        let ConditionalWrite { record, revision } = self.lease.acquire_or_renew(nonce, sent);
+        let (nonce, sent_at) = (self.inst.random(u64::MAX), self.inst.now());
+        let ConditionalWrite { record, revision } = self.lease.acquire_or_renew(nonce, sent_at);
         let token = record.token;
-        let outcome = match timeout(RENEW_LIMIT, self.put(record.clone(), revision)).await {
-            Ok(it) => it,
+        let result = match timeout(RENEW_TIMEOUT, self.put(record.clone(), revision)).await {
+            Ok(result) => result,
             Err(_) => Err(StoreError::Unanswered { step: "renew", reason: "no answer in time".to_owned() }),
         };
-        self.note_era();
+        self.observe_era();
         let now = self.inst.now();
-        let kept = match outcome {
+        let is_held = match result {
             Ok(revision) => {
                 self.failing = false;
-                self.lease.write_succeeded(record, revision, sent, now);
+                self.lease.write_succeeded(record, revision, sent_at, now);
                 true
             }
             Err(StoreError::Conflict { current }) => {
                 self.failing = false;
-                self.lease.write_conflicted(current.and_then(|it| self::record(*it)), sent, now)
+                self.lease.write_conflicted(current.and_then(|object| decode(*object)), sent_at, now)
             }
-            Err(StoreError::Missing) => self.lease.record_missing(sent, now),
+            Err(StoreError::Missing) => self.lease.record_missing(sent_at, now),
             Err(e) => {
                 self.inst.counters.increment(Count::StoreFailures);
                 if !std::mem::replace(&mut self.failing, true) {
-                    log::info!(token, step = "lease"; "the right to promote isn't renewed: {e}");
+                    log::info!(token, step = "lease"; "failover lease not renewed: {e}");
                 }
                 true
             }
         };
-        if !kept {
-            log::warn!(token; "the right to promote is lost: its record was changed");
+        if !is_held {
+            log::warn!(token; "failover lease lost: the record was changed");
         }
-        self.show();
+        self.publish();
     }
 
     async fn put(&self, record: LeaseRecord, revision: Option<Revision>) -> Result<Revision, StoreError> {
@@ -177,21 +181,21 @@
         store.put(Collection::Leases, name, Record::Lease(record), revision).await
     }
 
-    /// Gives the right up, so that another instance need not wait.
+    /// Releases the lease, so that another instance can acquire it immediately.
     async fn release(&mut self) {
         let Some(ConditionalWrite { record, revision }) = self.lease.release() else { return };
-        self.show();
+        self.publish();
         let token = record.token;
         match self.put(record, revision).await {
-            Ok(_) => log::info!(token; "the right to promote is given up"),
-            Err(e) => log::warn!(token; "the right to promote can't be given up: {e}"),
+            Ok(_) => log::info!(token; "failover lease released"),
+            Err(e) => log::warn!(token; "failover lease not released: {e}"),
         }
     }
 }
 
-fn record(it: Object) -> Option<(LeaseRecord, Revision)> {
-    match it.record {
-        Some(Record::Lease(record)) => Some((record, it.revision)),
+fn decode(object: Object) -> Option<(LeaseRecord, Revision)> {
+    match object.record {
+        Some(Record::Lease(record)) => Some((record, object.revision)),
         _ => None,
     }
 }
