--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -175,7 +175,7 @@
 impl Relayed {
     /// A stream over a link; nothing is sent yet.
     pub fn new(peer: Name, link: Rc<Link>, server: ServerProcess, owner: Owner, until: Instant) -> Relayed {
-        let stream = link.stream();
+        let stream = link.next_id();
         Relayed { peer, link, stream, server, owner, until, pinned: false, queued: false, asked: false }
     }
 
@@ -191,11 +191,11 @@
     /// Asks the other instance. Where the caller leaves meanwhile, that one is told, and answers all the same: what it has
     /// sent is left to end.
     async fn ask(&self, ask: Request, progress: Option<&Progress>) -> Response {
-        let question = self.link.put(ask);
-        let Some(progress) = progress else { return question.answer().await };
+        let question = self.link.send_request(ask);
+        let Some(progress) = progress else { return question.response().await };
         progress.relay_started();
         let id = question.id();
-        let answer = question.answer();
+        let answer = question.response();
         tokio::pin!(answer);
         let told = tokio::select! {
             biased;
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -72,7 +72,7 @@
     if up.crowded.get().is_none() || up.alone.get() > inst.now() {
         return Dispatcher::Each;
     }
-    inst.place(up);
+    inst.update_placement(up);
     match up.dispatcher() {
         Some(name) => Dispatcher::At(name),
         None => {
@@ -89,11 +89,11 @@
 pub fn tell_homes(inst: &Rc<Instance>, up: &Upstream) {
     let server = up.entry().id.clone();
     for name in up.ranked.borrow().iter().take(up.homes.get()) {
-        let Some(peer) = inst.peer(name).filter(|it| it.is_usable(inst.now())) else { continue };
+        let Some(peer) = inst.peer(name).filter(|it| it.is_available(inst.now())) else { continue };
         let (inst, server) = (inst.clone(), server.clone());
         tokio::task::spawn_local(async move {
             if let Some(link) = peer.link(&inst).await {
-                link.tell(Message::Overloaded { server });
+                link.send(Message::Overloaded { server });
             }
         });
     }
@@ -125,12 +125,12 @@
     slow: Micros,
     until: Instant,
 ) -> Option<Turn> {
-    let peer = inst.peer(name).filter(|it| it.is_usable(inst.now()))?;
+    let peer = inst.peer(name).filter(|it| it.is_available(inst.now()))?;
     let link = peer.link(inst).await?;
     let wait_ms = until.saturating_duration_since(Instant::now()).as_millis() as u32;
     let rank = Rank { soft_deadline: rank.soft_deadline.saturating_sub(inst.now()), ..rank };
     let ask = Request::Permit(PermitRequest { server: up.entry().id.clone(), rank, slow, wait_ms });
-    let told = timeout_at(until + RELAY_DEADLINE_MARGIN, link.ask(ask)).await;
+    let told = timeout_at(until + RELAY_DEADLINE_MARGIN, link.request(ask)).await;
     let (turn, crowded) = match told {
         Ok(Response::Permit { permit: turn, overloaded: crowded }) => {
             (Turn::Granted(Permit::remote(link, turn)), crowded)
--- a/crates/engine/src/distribution.rs
+++ b/crates/engine/src/distribution.rs
@@ -70,7 +70,7 @@
         let Some(peers) = inst.peers() else { return true };
         let own = &inst.settings;
         let now = inst.now();
-        let counts = |it: &&Rc<Peer>| it.zone == own.zone && !it.is_blind(now);
+        let counts = |it: &&Rc<Peer>| it.zone == own.zone && !it.cannot_watch(now);
         let others = peers.iter().filter(counts).map(|it| inst.candidate(it));
         let zone: Vec<Candidate<'_>> = others.chain([inst.own_candidate()]).collect();
         placement::pick("watch", &zone) == Some(&own.name)
@@ -147,7 +147,7 @@
         let watching = self.watched.get() == (true, true);
         let from = inst.settings.name.clone();
         let members = members_digest(&inst.members()?);
-        let tells = self.is_watcher(inst) && inst.leaving().is_none();
+        let tells = self.is_watcher(inst) && inst.draining_since().is_none();
         tells.then_some(Heartbeat { from, version, desired, directory, members, watching })
     }
 }
@@ -169,11 +169,11 @@
 }
 
 async fn send(inst: Rc<Instance>, peer: Rc<Peer>, beat: Heartbeat) {
-    if !peer.is_usable(inst.now()) {
+    if !peer.is_available(inst.now()) {
         return;
     }
     if let Some(link) = peer.link(&inst).await {
-        link.tell_again(Message::Heartbeat(beat));
+        link.send_with_keepalive(Message::Heartbeat(beat));
     }
 }
 
@@ -181,12 +181,12 @@
 pub async fn on_heartbeat(inst: Rc<Instance>, beat: Heartbeat) {
     let spread = &inst.distribution;
     let now = inst.now();
-    inst.hear_era(beat.desired.max(beat.directory));
+    inst.observe_era(beat.desired.max(beat.directory));
     if beat.watching {
         spread.heard.set(now);
     }
     let Some(peer) = inst.peer(&beat.from) else { return };
-    peer.set_watching(beat.watching, now);
+    peer.set_can_watch(beat.watching, now);
     let is_near = peer.zone == inst.settings.zone;
     if is_near && beat.watching {
         spread.heard_near.set(now);
--- a/crates/engine/src/takeover.rs
+++ b/crates/engine/src/failover.rs
@@ -8,7 +8,7 @@
 //! primary has to step down before another is promoted; where neither can be had, nobody is.
 
 use {
-    self::change::Change,
+    self::attempt::Change,
     crate::{
         group::Group,
         instance::{Instance, Micros, micros},
@@ -22,7 +22,7 @@
     tokio::time::{Instant, sleep},
 };
 
-mod change;
+mod attempt;
 
 /// Between two looks at the groups.
 const LOOK: Duration = Duration::from_millis(100);
@@ -73,11 +73,11 @@
 }
 
 /// Watches the groups while this instance has the right to give orders, for good.
-pub async fn watch(inst: Rc<Instance>) {
+pub async fn run(inst: Rc<Instance>) {
     let mut watched: Vec<Watched> = Vec::new();
     loop {
         sleep(LOOK).await;
-        if inst.token().is_none() {
+        if inst.fencing_token().is_none() {
             watched.clear();
             continue;
         }
@@ -88,7 +88,7 @@
             });
             watched[at].look(&inst);
         }
-        inst.leaders.keep(&inst);
+        inst.leaders.sync(&inst);
     }
 }
 
@@ -179,7 +179,7 @@
         if over(primary.refused(), REFUSED) {
             return Some(Cause::Refused);
         }
-        if over(primary.silent(), silence(now)) {
+        if over(primary.silent(), primary_timeout(now)) {
             return Some(Cause::Silent);
         }
         self.is_stalled().then_some(Cause::Stalled)
@@ -187,7 +187,7 @@
 }
 
 /// Silence after which an instance that runs since `uptime` microseconds gives a primary up.
-pub fn silence(uptime: Micros) -> Duration {
+pub fn primary_timeout(uptime: Micros) -> Duration {
     if uptime < micros(YOUNG) { YOUNG_SILENCE } else { SILENCE }
 }
 
--- a/crates/engine/src/takeover/change.rs
+++ b/crates/engine/src/failover/attempt.rs
@@ -123,7 +123,8 @@
         let mut rest = others.iter().filter(|it| replicas.iter().all(|known| known.0.index != it.index));
         let is_settled = self.group.is_settled(self.inst.now());
         let (Some(it), None, true) = (rest.next(), rest.next(), is_settled) else { return None };
-        let leader = self.inst.leaders.proved(self.inst, self.group).filter(|id| *id == it.entry().id)?;
+        let leader =
+            self.inst.leaders.proven_leader(self.inst, self.group).filter(|id| *id == it.entry().id)?;
         log::info!(group = self.group.name.as_str(), server = leader.as_str(), term = self.term.0; "leads, and was never heard here");
         let proof = LeaderRecord { term: self.term, server: Some(leader) };
         // What another instance recorded meanwhile goes first.
@@ -132,7 +133,7 @@
 
     /// The record of who led the group; `leader` becomes it if there was none. None if the store doesn't answer.
     async fn record(&self, leader: LeaderRecord) -> Option<LeaderRecord> {
-        self.inst.leaders.ensure(self.inst, &self.group.name, leader).await
+        self.inst.leaders.ensure_recorded(self.inst, &self.group.name, leader).await
     }
 
     /// Whether the primary was heard after it had been given up.
@@ -218,7 +219,7 @@
     async fn promote(&self, target: &Upstream) -> Result<(), Failed> {
         let entry = target.entry();
         for _ in 0..ORDERS {
-            let token = self.inst.token().ok_or("the right to promote has ended")?;
+            let token = self.inst.fencing_token().ok_or("the right to promote has ended")?;
             if self.group.forgotten() != self.forgotten {
                 return Err("a server that was asked has forgotten what it held");
             }
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -112,7 +112,7 @@
     let mut next = None;
     loop {
         let ask = Request::Fetch(FetchRequest { what, from: inst.settings.name.clone(), since, next });
-        let told = timeout(PART_LIMIT, peer.ask(inst, ask)).await.map_err(|_| FetchError::Late)?;
+        let told = timeout(PART_LIMIT, peer.request(inst, ask)).await.map_err(|_| FetchError::Late)?;
         let part = match told {
             Response::Chunk(it) => it,
             Response::Elsewhere(name) => return Ok(Step::Elsewhere(name.and_then(|it| inst.peer(&it)))),
--- a/crates/engine/src/group.rs
+++ b/crates/engine/src/group.rs
@@ -5,7 +5,7 @@
 //!
 //! Evidence is what a server showed in the answer to a question, as of the question's sending. A replica
 //! that receives in a term confirms that the term's primary had not been replaced at that time: whoever
-//! replaces it first stops all other replicas from receiving (see [`crate::takeover`]).
+//! replaces it first stops all other replicas from receiving (see [`crate::failover`]).
 
 use {
     self::sightings::Inquiry,
--- a/crates/engine/src/group/listing.rs
+++ b/crates/engine/src/group/listing.rs
@@ -105,7 +105,7 @@
     /// Asks a server that is new here, if this instance is one of its homes. Others ask once they have callers for
     /// it: each of hundreds of instances asking each of hundreds of servers would be too much at a start.
     pub(super) fn greet(&self, inst: &Instance, it: &Upstream) {
-        inst.place(it);
+        inst.update_placement(it);
         let home = inst.peers().is_some() && inst.is_configured(&self.name) && it.is_reachable();
         if home || self.is_used() {
             it.ask();
--- a/crates/engine/src/group/sightings.rs
+++ b/crates/engine/src/group/sightings.rs
@@ -59,7 +59,7 @@
     let servers = group.servers();
     let find = |it: &StatusQuery| {
         let up = servers.iter().find(|up| it.server == up.entry().as_ref().into())?;
-        inst.place(up);
+        inst.update_placement(up);
         up.is_reachable().then(|| (up.clone(), came.saturating_sub(it.age)))
     };
     let wants: Vec<Want> = wanted.iter().filter_map(find).collect();
@@ -86,7 +86,7 @@
 /// Learns from other instances what a server last said about itself, if it was asked for that at `since` or later. False
 /// where the server has to be asked.
 pub async fn learn(inst: &Rc<Instance>, group: &Rc<Group>, it: &Rc<Upstream>, since: Micros) -> bool {
-    inst.place(it);
+    inst.update_placement(it);
     if it.is_reachable() {
         if group.primary().is_none() && group.is_used() {
             // Whoever leads may be known elsewhere, and not reached from here.
@@ -95,7 +95,7 @@
         return false;
     }
     // Whether it answers is found out by asking it: where that is in doubt, and where changes of primary are ordered.
-    if it.silent().is_some() || it.refused().is_some() || inst.token().is_some() {
+    if it.silent().is_some() || it.refused().is_some() || inst.fencing_token().is_some() {
         return false;
     }
     it.probe(inst, group);
@@ -116,7 +116,10 @@
 async fn look_round(inst: Rc<Instance>, group: Rc<Group>, it: Rc<Upstream>, asked: Micros) {
     sleep(SECOND_AFTER).await;
     let answered = is_met(&(it.clone(), asked));
-    if answered || group.primary().is_some() || inst.token().is_some() || group.inquiry.looking.replace(true)
+    if answered
+        || group.primary().is_some()
+        || inst.fencing_token().is_some()
+        || group.inquiry.looking.replace(true)
     {
         return;
     }
@@ -184,7 +187,7 @@
     let mut asked: Vec<Name> = Vec::new();
     for n in 0..=MAX_RELAYS {
         // Who gives orders asks the servers themselves.
-        if inst.token().is_some() {
+        if inst.fencing_token().is_some() {
             break;
         }
         let missing: Vec<Want> = wants.iter().filter(|it| !is_met(it)).cloned().collect();
@@ -263,7 +266,7 @@
     };
     let ask = Request::State { group: group.name.clone(), wanted: wants.iter().map(wanted).collect() };
     inst.counters.increment(Count::Inquiries);
-    let told = timeout(ORDER_TIMEOUT, peer.ask(&inst, ask)).await;
+    let told = timeout(ORDER_TIMEOUT, peer.request(&inst, ask)).await;
     let now = inst.now();
     let heard = matches!(told, Ok(Response::State(_)));
     if let Ok(Response::State(told)) = told {
--- a/crates/engine/src/instance.rs
+++ b/crates/engine/src/instance.rs
@@ -6,7 +6,7 @@
         distribution::Distribution,
         group::Group,
         leaders::Leaders,
-        lease::Tenure,
+        lease::LeaseState,
         message::Member,
         model::{Config, Server},
         peer::Peer,
@@ -98,7 +98,7 @@
     /// Counters.
     pub counters: Counters,
     /// Woken when this instance begins to leave.
-    pub leave: Notify,
+    pub drain_started: Notify,
     /// Sessions that are open.
     pub sessions: Cell<usize>,
     desired: RefCell<Option<Rc<Config>>>,
@@ -132,7 +132,7 @@
     costs: RefCell<Averages<Name>>,
     rng: RefCell<Pcg64Mcg>,
     /// The right to give orders, while this instance has it.
-    pub tenure: Tenure,
+    pub lease: LeaseState,
     /// Who led each group, as the store says.
     pub leaders: Leaders,
     /// What organisations may use.
@@ -149,7 +149,7 @@
             bounds: Cell::new(bounds),
             adapters,
             counters: Counters::default(),
-            leave: Notify::new(),
+            drain_started: Notify::new(),
             sessions: Cell::default(),
             desired: RefCell::default(),
             groups: RefCell::default(),
@@ -168,7 +168,7 @@
             clock,
             costs: RefCell::default(),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(rand::rng().random())),
-            tenure: Tenure::default(),
+            lease: LeaseState::default(),
             leaders: Leaders::default(),
             quotas: Quotas::new(rand::rng().random(), clock.now()),
             lines: Cell::default(),
@@ -181,12 +181,12 @@
     }
 
     /// How long statements of a database take.
-    pub fn cost(&self, database: &str) -> Micros {
+    pub fn statement_latency(&self, database: &str) -> Micros {
         self.costs.borrow().get(database).map_or(0, Average::get)
     }
 
     /// A statement of a database took this long at a server.
-    pub fn spent(&self, database: &Name, took: Micros, queued: bool) {
+    pub fn record_latency(&self, database: &Name, took: Micros, queued: bool) {
         let mut costs = self.costs.borrow_mut();
         // What it takes in a queue says little of the work, but more than nothing.
         if !queued || !costs.get(database).is_some_and(Average::is_settled) {
@@ -231,19 +231,19 @@
     }
 
     /// How long ago it is known to have been the newest; none if it never was.
-    pub fn unconfirmed(&self) -> Option<Micros> {
+    pub fn config_staleness(&self) -> Option<Micros> {
         let at = Some(self.confirmed.get()).filter(|it| *it > 0)?;
         Some(self.now().saturating_sub(at))
     }
 
     /// Whether keys may be taken at the configuration's word.
-    pub fn trusts_keys(&self) -> bool {
+    pub fn has_fresh_keys(&self) -> bool {
         let limit = self.bounds.get().revoke;
-        limit.is_none_or(|limit| self.unconfirmed().is_some_and(|it| it < micros(limit)))
+        limit.is_none_or(|limit| self.config_staleness().is_some_and(|it| it < micros(limit)))
     }
 
     /// Takes a configuration in if it is newer.
-    pub fn adopt(&self, it: Config, revision: Revision) {
+    pub fn apply_config(&self, it: Config, revision: Revision) {
         let known = self.config();
         let old = known.as_ref().map_or(0, |it| it.version);
         if it.version <= old {
@@ -290,7 +290,7 @@
     }
 
     /// Takes a directory in, sorted by id.
-    pub fn set_directory(self: &Rc<Self>, servers: Vec<Server>, revision: Revision) {
+    pub fn apply_directory(self: &Rc<Self>, servers: Vec<Server>, revision: Revision) {
         self.set_revision(Collection::Servers, revision);
         let old = self.directory.replace(Some(servers.clone())).unwrap_or_default();
         self.history.record_directory(&old, &servers, revision.as_u64());
@@ -323,7 +323,7 @@
     }
 
     /// An object of the store can't be read: counted each time, told once.
-    pub fn note_unreadable(&self, what: Collection, name: &Name, why: &str) {
+    pub fn record_unreadable(&self, what: Collection, name: &Name, why: &str) {
         self.counters.increment(Count::Unreadable);
         if self.unreadable.borrow_mut().insert(what, name) {
             log::error!(collection:% = what, object = name.as_str(); "unreadable: {why}");
@@ -336,14 +336,14 @@
     }
 
     /// Another instance has told a revision of the store.
-    pub fn hear_era(&self, it: Revision) {
+    pub fn observe_era(&self, it: Revision) {
         self.told_era.set(self.told_era.get().max(Some(it.era())));
     }
 
     /// The right to give orders, while this instance may use it: not what was granted before the store came back from an
     /// older copy.
-    pub fn token(&self) -> Option<u64> {
-        self.tenure.token(self.era()?, self.now())
+    pub fn fencing_token(&self) -> Option<u64> {
+        self.lease.token(self.era()?, self.now())
     }
 
     /// The store's revision at which a collection was last known to have changed.
@@ -429,7 +429,7 @@
     }
 
     /// Sorts other instances by how they come for a subject; one that is gone counts as small.
-    pub fn order(&self, subject: &str, names: &mut [Name]) {
+    pub fn sort_by_placement(&self, subject: &str, names: &mut [Name]) {
         let old = names.to_vec();
         let zone = Name::new();
         let capacity = |it: &Name| self.peer(it).and_then(|it| it.capacity);
@@ -449,7 +449,7 @@
     }
 
     /// Works out who has a share of a server's connections, if that may have changed.
-    pub fn place(&self, up: &Upstream) {
+    pub fn update_placement(&self, up: &Upstream) {
         if up.placement.replace(self.placement.get()) == self.placement.get() {
             return;
         }
@@ -497,14 +497,14 @@
     }
 
     /// Begins to leave.
-    pub fn begin_leave(&self) {
+    pub fn start_drain(&self) {
         self.leaving.set(Some(Instant::now()));
         log::info!(sessions = self.sessions.get(); "leaving");
-        self.leave.notify_waiters();
+        self.drain_started.notify_waiters();
     }
 
     /// Since when this instance leaves.
-    pub fn leaving(&self) -> Option<Instant> {
+    pub fn draining_since(&self) -> Option<Instant> {
         self.leaving.get()
     }
 }
--- a/crates/engine/src/leaders.rs
+++ b/crates/engine/src/leaders.rs
@@ -69,9 +69,9 @@
 impl Leaders {
     /// Reads the records, or writes those that are missing or outdated, if this instance holds the lease. Does nothing while
     /// an earlier call is in flight.
-    pub fn keep(&self, inst: &Rc<Instance>) {
+    pub fn sync(&self, inst: &Rc<Instance>) {
         let now = inst.now();
-        let Some(token) = inst.token() else { return };
+        let Some(token) = inst.fencing_token() else { return };
         if self.calling.get() || now < self.retry_at.get() {
             return;
         }
@@ -99,7 +99,7 @@
 
     /// Applies `f` to the records; none if they weren't read under this instance's current lease.
     fn with_records<T>(&self, inst: &Instance, f: impl FnOnce(&[StoredRecord]) -> T) -> Option<T> {
-        let token = inst.token()?;
+        let token = inst.fencing_token()?;
         let cache = self.cache.borrow();
         cache.as_ref().filter(|cache| cache.token == token).map(|cache| f(&cache.records))
     }
@@ -175,12 +175,12 @@
 
     /// Returns the leader of a group's latest term if the records and the servers' entries prove it, although the leader
     /// doesn't answer this instance.
-    pub fn proved(&self, inst: &Instance, group: &Group) -> Option<Name> {
+    pub fn proven_leader(&self, inst: &Instance, group: &Group) -> Option<Name> {
         let servers = group.servers();
         let entries = servers.iter().map(|server| server.entry());
         let claimants: Vec<Name> =
             entries.filter(|entry| entry.role == Some(Role::Primary)).map(|entry| entry.id.clone()).collect();
-        let (term, complete) = (group.term(), inst.tenure.is_complete());
+        let (term, complete) = (group.term(), inst.lease.is_complete());
         self.with_records(inst, |records| {
             let record = find(records, &group.name).ok().map(|at| &records[at].leader);
             LeaderEvidence { term, record, complete, claimants: &claimants }.leader().cloned()
@@ -189,7 +189,7 @@
 
     /// Waits until a group has a record and returns the record; `leader` is written if there is none. Returns none if the
     /// store doesn't answer in time or the lease is lost.
-    pub async fn ensure(
+    pub async fn ensure_recorded(
         &self,
         inst: &Rc<Instance>,
         group: &Name,
@@ -207,7 +207,7 @@
             requested.retain(|request| request.0 != *group);
             requested.push((group.clone(), leader.clone()));
             self.requested.replace(requested);
-            self.keep(inst);
+            self.sync(inst);
             timeout_at(deadline, changed).await.ok()?;
         }
     }
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -31,11 +31,11 @@
 
 /// The lease as held by this instance.
 #[derive(Default)]
-pub struct Tenure {
+pub struct LeaseState {
     held: Cell<Option<HeldLease>>,
 }
 
-impl Tenure {
+impl LeaseState {
     /// Returns the fencing token if the lease was granted in `era` of the store and hasn't expired.
     pub fn token(&self, era: u64, now: Micros) -> Option<u64> {
         self.held.get().filter(|held| now < held.expires_at && held.era == era).map(|held| held.token)
@@ -59,10 +59,10 @@
 }
 
 /// Acquires the lease when it is free and renews it, until the instance drains; then releases it.
-pub async fn keep(inst: Rc<Instance>) {
+pub async fn run(inst: Rc<Instance>) {
     let lease = Lease::new(inst.settings.name.clone(), inst.settings.first_start, inst.now());
     let mut manager = LeaseManager { inst: inst.clone(), lease, restored_at: None, failing: false };
-    while inst.leaving().is_none() {
+    while inst.draining_since().is_none() {
         let delay = manager.step().await;
         sleep(delay + Duration::from_millis(inst.random(100))).await;
     }
@@ -85,7 +85,7 @@
         if self.lease.held().is_some() {
             self.write().await;
             // An expired lease needn't be renewed as often.
-            return if self.inst.token().is_none() { POLL_INTERVAL } else { RENEW_INTERVAL };
+            return if self.inst.fencing_token().is_none() { POLL_INTERVAL } else { RENEW_INTERVAL };
         }
         let delay = match () {
             () if self.inst.distribution.is_bootstrapping(&self.inst) => return RENEW_INTERVAL,
@@ -98,7 +98,7 @@
         self.poll().await;
         if self.lease.can_acquire(self.inst.now()) {
             self.write().await;
-            if let Some(token) = self.inst.token() {
+            if let Some(token) = self.inst.fencing_token() {
                 log::info!(token; "the right to promote is taken");
             }
         }
@@ -120,7 +120,7 @@
 
     /// Publishes the lease's state to the other parts of the instance.
     fn publish(&self) {
-        self.inst.tenure.held.set(self.lease.held());
+        self.inst.lease.held.set(self.lease.held());
     }
 
     async fn poll(&mut self) {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -23,7 +23,7 @@
 //! | [`message`], [`link`], [`peer`] | other instances and what is said between them |
 //! | [`relay`] | statements run for others |
 //! | [`session`], [`statement`], [`read`], [`write`](mod@write), [`txn`] | callers |
-//! | [`lease`], [`takeover`] | the right to give orders, and changes of primary |
+//! | [`lease`], [`failover`] | the right to give orders, and changes of primary |
 //! | [`leaders`] | the record of who led each group |
 //! | [`progress`] | how far a statement has come, for whoever waits for its answer |
 //! | [`unreadable`] | objects of the store that can't be read |
@@ -34,6 +34,7 @@
 pub mod count;
 pub mod dispatch;
 pub mod distribution;
+pub mod failover;
 pub mod fetch;
 pub mod group;
 pub mod instance;
@@ -55,7 +56,6 @@
 pub mod session;
 pub mod settings;
 pub mod statement;
-pub mod takeover;
 pub mod turnstile;
 pub mod txn;
 pub mod unreadable;
--- a/crates/engine/src/link.rs
+++ b/crates/engine/src/link.rs
@@ -38,15 +38,15 @@
 const PING: Duration = Duration::from_millis(1_000);
 /// A link on which a transaction rests is given up, on either side, when nothing was heard for this long:
 /// three pings.
-pub const STREAM_SILENCE: Duration = Duration::from_millis(3_000);
+pub const STREAM_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// A link to another instance, over which this one asks.
 pub struct Link {
-    out: mpsc::UnboundedSender<Message>,
+    sender: mpsc::UnboundedSender<Message>,
     pending: RefCell<Vec<(u64, oneshot::Sender<Response>)>>,
     next: Cell<u64>,
     /// When anything came, be it a part of a message.
-    heard: Rc<Cell<Micros>>,
+    last_received: Rc<Cell<Micros>>,
     /// Since when something is owed, or a transaction rests on it.
     since: Cell<Micros>,
     /// Whether a ping has no answer yet that was sent because nothing else would be answered.
@@ -62,12 +62,12 @@
 impl Link {
     /// Begins to use a connection.
     pub fn start(inst: &Rc<Instance>, stream: TcpStream) -> Rc<Link> {
-        let Halves { reader, out, heard } = halves(stream, inst.clock);
+        let Halves { reader, sender, last_received } = split(stream, inst.clock);
         let it = Rc::new(Link {
-            out,
+            sender,
             pending: RefCell::default(),
             next: Cell::new(1),
-            heard,
+            last_received,
             since: Cell::new(inst.now()),
             pinged: Cell::default(),
             pinned: Cell::default(),
@@ -86,22 +86,22 @@
     }
 
     /// A number that no other stream of this link has.
-    pub fn stream(&self) -> u64 {
+    pub fn next_id(&self) -> u64 {
         self.next.replace(self.next.get() + 1)
     }
 
     /// Tells something that isn't answered.
-    pub fn tell(&self, message: Message) {
+    pub fn send(&self, message: Message) {
         // On a closed link nobody is there to be told.
-        self.out.send(message).ok();
+        self.sender.send(message).ok();
     }
 
     /// Tells something regularly. The link is checked now and then: nothing else would show that it is dead.
-    pub fn tell_again(&self, message: Message) {
-        self.tell(message);
-        let silent = self.clock.now().saturating_sub(self.heard.get());
-        if silent >= micros(STREAM_SILENCE) && !self.pinged.replace(true) {
-            self.tell(Message::Ping);
+    pub fn send_with_keepalive(&self, message: Message) {
+        self.send(message);
+        let silent = self.clock.now().saturating_sub(self.last_received.get());
+        if silent >= micros(STREAM_TIMEOUT) && !self.pinged.replace(true) {
+            self.send(Message::Ping);
             self.look();
         }
     }
@@ -126,32 +126,32 @@
     /// Tells that a stream's transaction is given up.
     pub fn drop_stream(&self, stream: u64) {
         // On a closed link the other side has dropped it already.
-        self.tell(Message::Drop { stream });
+        self.send(Message::Drop { stream });
     }
 
     /// Tells that what a question asks for needn't begin. It is answered all the same.
     pub fn cancel(&self, id: u64) {
-        self.tell(Message::Cancel { id });
+        self.send(Message::Cancel { id });
     }
 
     /// Asks for something.
-    pub async fn ask(&self, ask: Request) -> Response {
-        self.put(ask).answer().await
+    pub async fn request(&self, ask: Request) -> Response {
+        self.send_request(ask).response().await
     }
 
     /// Asks for something, and lets the answer come.
-    pub fn put(&self, ask: Request) -> Question<'_> {
-        let id = self.stream();
+    pub fn send_request(&self, ask: Request) -> PendingRequest<'_> {
+        let id = self.next_id();
         let waits = ask.is_cancellable();
         let (answer, got) = oneshot::channel();
-        if !self.open.get() || self.out.send(Message::Request { id, request: ask }).is_err() {
-            return Question { link: self, id, waits: false, got: None };
+        if !self.open.get() || self.sender.send(Message::Request { id, request: ask }).is_err() {
+            return PendingRequest { link: self, id, waits: false, got: None };
         }
         if self.pending.borrow().is_empty() {
             self.look();
         }
         self.pending.borrow_mut().push((id, answer));
-        Question { link: self, id, waits, got: Some(got) }
+        PendingRequest { link: self, id, waits, got: Some(got) }
     }
 
     async fn receive(self: Rc<Self>, mut reader: Reader) {
@@ -187,7 +187,7 @@
         };
         // Whoever asked may have stopped waiting; a turn goes back.
         if let Some(Response::Permit { permit: turn, .. }) = missed {
-            self.tell(Message::ReleasePermit { permit: turn });
+            self.send(Message::ReleasePermit { permit: turn });
         }
     }
 
@@ -198,7 +198,7 @@
             let owes = self.pinged.get() || !self.pending.borrow().is_empty();
             let (pause, limit) = match owes {
                 true => (LOOK, SILENCE),
-                false if self.pinned.get() > 0 => (PING, STREAM_SILENCE),
+                false if self.pinned.get() > 0 => (PING, STREAM_TIMEOUT),
                 false => {
                     self.wanted.notified().await;
                     continue;
@@ -207,11 +207,11 @@
             if timeout(pause, self.wanted.notified()).await.is_ok() {
                 continue;
             }
-            let silent = self.clock.now().saturating_sub(self.heard.get().max(self.since.get()));
+            let silent = self.clock.now().saturating_sub(self.last_received.get().max(self.since.get()));
             if silent >= micros(limit) {
                 self.close();
             } else if silent >= micros(pause) {
-                self.out.send(Message::Ping).ok();
+                self.sender.send(Message::Ping).ok();
             }
         }
     }
@@ -224,7 +224,7 @@
 }
 
 /// A question that was asked. Dropped before its answer came, it is cancelled.
-pub struct Question<'a> {
+pub struct PendingRequest<'a> {
     link: &'a Link,
     id: u64,
     /// Whether it may wait for something there.
@@ -233,9 +233,9 @@
     got: Option<oneshot::Receiver<Response>>,
 }
 
-impl Question<'_> {
+impl PendingRequest<'_> {
     /// Its answer.
-    pub async fn answer(mut self) -> Response {
+    pub async fn response(mut self) -> Response {
         let Some(got) = &mut self.got else { return Response::NotSent("the link is closed".to_owned()) };
         let told = got.await.unwrap_or_else(|_| Response::Broken("the link broke".to_owned()));
         self.waits = false;
@@ -248,7 +248,7 @@
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         if !self.waits {
             return;
@@ -256,7 +256,7 @@
         match self.got.as_mut().map(oneshot::Receiver::try_recv) {
             // It came, and whoever asked has left.
             Some(Ok(Response::Permit { permit: turn, .. })) => {
-                self.link.tell(Message::ReleasePermit { permit: turn })
+                self.link.send(Message::ReleasePermit { permit: turn })
             }
             Some(Ok(_)) => {}
             Some(Err(_)) | None => self.link.cancel(self.id),
@@ -274,25 +274,25 @@
     /// Messages that come.
     pub reader: Reader,
     /// Messages to be written.
-    pub out: mpsc::UnboundedSender<Message>,
+    pub sender: mpsc::UnboundedSender<Message>,
     /// When bytes last came. A large message over a narrow link takes longer than a silent link is kept, and is none.
-    pub heard: Rc<Cell<Micros>>,
+    pub last_received: Rc<Cell<Micros>>,
 }
 
 /// Parts a connection into a reader and a queue of messages to be written.
-pub fn halves(stream: TcpStream, clock: Clock) -> Halves {
+pub fn split(stream: TcpStream, clock: Clock) -> Halves {
     // A link without it is slower, nothing worse.
     stream.set_nodelay(true).ok();
     let (read, write) = stream.into_split();
     let codec = LengthDelimitedCodec::builder().max_frame_length(MESSAGE_BYTES).new_codec();
-    let (out, queue) = mpsc::unbounded_channel();
+    let (sender, queue) = mpsc::unbounded_channel();
     tokio::task::spawn_local(send(write, queue));
-    let heard = Rc::new(Cell::new(clock.now()));
+    let last_received = Rc::new(Cell::new(clock.now()));
     let note: Note = {
-        let heard = heard.clone();
-        Box::new(move |_| heard.set(clock.now()))
+        let last_received = last_received.clone();
+        Box::new(move |_| last_received.set(clock.now()))
     };
-    Halves { reader: FramedRead::new(InspectReader::new(read, note), codec), out, heard }
+    Halves { reader: FramedRead::new(InspectReader::new(read, note), codec), sender, last_received }
 }
 
 /// Writes messages; those that come together go together.
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -41,7 +41,7 @@
 /// [`RELAY_AFTER`], and alone if this instance doesn't reach the server. Returns the server's status, or none if the
 /// server doesn't answer.
 pub async fn send_order(inst: &Rc<Instance>, group: &Group, up: &Upstream, order: &Order) -> Option<Status> {
-    inst.place(up);
+    inst.update_placement(up);
     if !up.is_reachable() {
         up.probe(inst, group);
         return send_relayed(inst, group, up, order).await;
@@ -79,7 +79,7 @@
         let sent = inst.now();
         up.asked.set(sent);
         let request = Request::Order { server: up.entry().as_ref().into(), order: order.clone() };
-        match timeout(ORDER_TIMEOUT, peer.ask(inst, request)).await {
+        match timeout(ORDER_TIMEOUT, peer.request(inst, request)).await {
             Ok(Response::Status(Some(status))) => {
                 group.saw(up, status, sent, inst.now());
                 return Some(status);
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether it may be asked now.
-    pub fn is_usable(&self, now: Micros) -> bool {
+    pub fn is_available(&self, now: Micros) -> bool {
         self.avoid.get() <= now
     }
 
@@ -78,12 +78,12 @@
     }
 
     /// It says whether it can watch the store.
-    pub fn set_watching(&self, watching: bool, now: Micros) {
+    pub fn set_can_watch(&self, watching: bool, now: Micros) {
         self.blind.set(if watching { 0 } else { now + micros(BLIND) });
     }
 
     /// Whether it said lately that it can't watch the store.
-    pub fn is_blind(&self, now: Micros) -> bool {
+    pub fn cannot_watch(&self, now: Micros) -> bool {
         self.blind.get() > now
     }
 
@@ -111,8 +111,8 @@
     }
 
     /// Asks it for something.
-    pub async fn ask(&self, inst: &Rc<Instance>, ask: Request) -> Response {
+    pub async fn request(&self, inst: &Rc<Instance>, ask: Request) -> Response {
         let Some(link) = self.link(inst).await else { return Response::NotSent("no link".to_owned()) };
-        link.ask(ask).await
+        link.request(ask).await
     }
 }
--- a/crates/engine/src/quota/claims.rs
+++ b/crates/engine/src/quota/claims.rs
@@ -82,7 +82,9 @@
             })
             .collect();
         let response = match inst.peer(&limiter) {
-            Some(peer) => timeout(CLAIM_TIMEOUT, peer.ask(&inst, Request::Claim(claims.clone()))).await.ok(),
+            Some(peer) => {
+                timeout(CLAIM_TIMEOUT, peer.request(&inst, Request::Claim(claims.clone()))).await.ok()
+            }
             None => None,
         };
         let grants = match response {
--- a/crates/engine/src/quota/lending.rs
+++ b/crates/engine/src/quota/lending.rs
@@ -34,7 +34,7 @@
     /// Handles a loan of shares from another instance or from this one.
     pub fn handle_loan(&self, inst: &Instance, loan: &QuotaLoan) -> Response {
         let now = inst.now();
-        let leaving = inst.leaving().is_some();
+        let leaving = inst.draining_since().is_some();
         if loan.from != inst.settings.name {
             inst.counters.increment(Count::Lent);
         }
@@ -43,7 +43,7 @@
         let offer = Offer { slots, share: loan.share, since: loan.since, duration: loan.term };
         let answer = limiter.accept_offer(&loan.from, loan.seq, offer, now);
         let version = inst.config().map(|config| config.version);
-        let age = inst.unconfirmed().map(|age| (age / 1_000) as u32);
+        let age = inst.config_staleness().map(|age| (age / 1_000) as u32);
         let count = self.counted.get().max as u32;
         Response::Lent { answer, stamp: limiter.timestamp(now), leaving, count, confirmed: version.zip(age) }
     }
@@ -63,7 +63,7 @@
         let mut all: Vec<Candidate<'_>> = peers.iter().map(|peer| inst.candidate(peer)).collect();
         let mut available = all.clone();
         available.retain(|candidate| is_reachable(candidate.name));
-        if inst.leaving().is_none() || available.is_empty() {
+        if inst.draining_since().is_none() || available.is_empty() {
             available.push(own);
         }
         all.push(own);
@@ -235,7 +235,7 @@
         let loan = quotas.loan(&inst, &to);
         let (sent, sent_at) = (loan.slots, inst.now());
         let reply_timeout = Duration::from_micros(quotas.renewals.borrow().timeout());
-        match timeout(reply_timeout, peer.ask(&inst, Request::Lend(loan))).await {
+        match timeout(reply_timeout, peer.request(&inst, Request::Lend(loan))).await {
             Ok(Response::Lent { answer, stamp, leaving, count, confirmed }) => {
                 quotas.last_response_at.set(inst.now());
                 observe(&quotas.reported, count as usize, inst.now());
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -8,7 +8,7 @@
         distribution,
         group::{Group, sightings},
         instance::{Instance, Micros, accept_all, micros},
-        link::{Halves, Reader, STREAM_SILENCE, halves},
+        link::{Halves, Reader, STREAM_TIMEOUT, split},
         message::{Command, Message, PermitRequest, Request, Response, RunRequest, ServerProcess},
         model::{Order, Status, TxnState},
         order::send_direct,
@@ -41,7 +41,7 @@
 /// A link, on the side that answers.
 struct Served {
     inst: Rc<Instance>,
-    out: UnboundedSender<Message>,
+    sender: UnboundedSender<Message>,
     /// Transactions, by stream.
     streams: RefCell<Vec<(u64, Channel)>>,
     /// Turns that the other side has.
@@ -64,15 +64,15 @@
 }
 
 async fn serve(inst: Rc<Instance>, stream: TcpStream) {
-    let Halves { mut reader, out, heard } = halves(stream, inst.clock);
+    let Halves { mut reader, sender, last_received } = split(stream, inst.clock);
     let it = Rc::new(Served {
         inst,
-        out,
+        sender,
         streams: RefCell::default(),
         turns: RefCell::default(),
         asked: RefCell::default(),
     });
-    while let Some(bytes) = it.receive(&mut reader, &heard).await {
+    while let Some(bytes) = it.receive(&mut reader, &last_received).await {
         let goes_on = Message::decode(&bytes).is_some_and(|message| it.take_in(message));
         if !goes_on {
             break;
@@ -86,14 +86,14 @@
 
 impl Served {
     /// The next message; none at the end of the link, or when it is silent and transactions rest on it.
-    async fn receive(&self, reader: &mut Reader, heard: &Cell<Micros>) -> Option<BytesMut> {
+    async fn receive(&self, reader: &mut Reader, last_received: &Cell<Micros>) -> Option<BytesMut> {
         loop {
-            if let Ok(it) = timeout(STREAM_SILENCE, reader.next()).await {
+            if let Ok(it) = timeout(STREAM_TIMEOUT, reader.next()).await {
                 return it?.ok();
             }
-            let silent = self.inst.now().saturating_sub(heard.get());
+            let silent = self.inst.now().saturating_sub(last_received.get());
             let transactions = self.streams.borrow().len();
-            if transactions > 0 && silent >= micros(STREAM_SILENCE) {
+            if transactions > 0 && silent >= micros(STREAM_TIMEOUT) {
                 log::info!(step = "link", transactions; "another instance is silent; its transactions are rolled back");
                 return None;
             }
@@ -120,7 +120,7 @@
             // One that was answered meanwhile isn't known any longer.
             Message::Cancel { id } => self.cancel(id),
             // On a closed link nobody waits for it.
-            Message::Ping => drop(self.out.send(Message::Pong)),
+            Message::Ping => drop(self.sender.send(Message::Pong)),
             Message::Response { .. } | Message::Pong => return false,
         }
         true
@@ -197,7 +197,7 @@
 
     /// Tells an answer; says whether the link is open. On a closed one the other side knows.
     fn tell(&self, id: u64, told: Response) -> bool {
-        self.out.send(Message::Response { id, response: told }).is_ok()
+        self.sender.send(Message::Response { id, response: told }).is_ok()
     }
 
     /// Hands out a turn, and takes it back after a while in any case.
@@ -294,7 +294,7 @@
         match answer.txn {
             TxnState::Idle => channel.give_back(),
             // One that was given up meanwhile is rolled back, as are those of a link that has closed.
-            TxnState::Open | TxnState::Failed if !self.out.is_closed() && !progress.is_txn_abandoned() => {
+            TxnState::Open | TxnState::Failed if !self.sender.is_closed() && !progress.is_txn_abandoned() => {
                 channel.pin();
                 self.put_stream(it.stream, channel);
             }
@@ -320,7 +320,7 @@
     slow: Micros,
     until: Instant,
 ) -> Result<Direct, Response> {
-    inst.place(up);
+    inst.update_placement(up);
     if up.is_lost() {
         return Err(Response::NotSent("the server isn't reachable from here".to_owned()));
     }
@@ -355,7 +355,7 @@
 
 async fn order_server(inst: &Rc<Instance>, server: &ServerProcess, order: &Order) -> Response {
     let Some((group, up)) = find(inst, &server.id) else { return Response::Status(None) };
-    inst.place(&up);
+    inst.update_placement(&up);
     if up.is_lost() || up.entry().incarnation != server.incarnation {
         return Response::Status(None);
     }
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -186,7 +186,7 @@
             }
             return Err(Answer::error(ErrorCode::NoDatabase, "no such database", TxnState::Idle));
         };
-        if !self.inst.trusts_keys() {
+        if !self.inst.has_fresh_keys() {
             return Err(untrusted());
         }
         let key = key.hash();
@@ -309,8 +309,8 @@
 /// is open not before half of the grace period is over.
 async fn may_close(inst: &Instance, open: bool) {
     let since = loop {
-        let notified = inst.leave.notified();
-        match inst.leaving() {
+        let notified = inst.drain_started.notified();
+        match inst.draining_since() {
             Some(since) => break since,
             None => notified.await,
         }
@@ -349,7 +349,7 @@
         {
             return Answer::error(ErrorCode::Malformed, "the transaction has failed", TxnState::Failed);
         }
-        let is_owner = |owner: &Owner| self.owner().as_ref() == Some(owner) && self.inst.trusts_keys();
+        let is_owner = |owner: &Owner| self.owner().as_ref() == Some(owner) && self.inst.has_fresh_keys();
         if self.txn.owner().is_some_and(|owner| !is_owner(owner)) {
             self.txn.abort("its caller's key is another's or nobody's, or may be by now");
         }
@@ -457,7 +457,7 @@
         let route = self.route().ok_or_else(|| {
             Answer::error(ErrorCode::NoDatabase, "the database was removed", TxnState::Idle)
         })?;
-        if !self.inst.trusts_keys() {
+        if !self.inst.has_fresh_keys() {
             return Err(untrusted());
         }
         let Some(owner) = self.owner() else {
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -224,7 +224,7 @@
         deadline: Instant,
     ) -> Result<Channel, DispatchError> {
         let deadline = deadline.min(self.deadline).min(self.queue_deadline());
-        self.inst.place(up);
+        self.inst.update_placement(up);
         if !up.is_reachable() {
             return self.relay(up, deadline).await;
         }
@@ -325,7 +325,7 @@
             priority: self.route.priority,
             soft_deadline: self.arrived_at + micros(self.route.objective),
             kind: xxh3_64(self.route.database.as_bytes()),
-            cost: self.inst.cost(&self.route.database),
+            cost: self.inst.statement_latency(&self.route.database),
             statements: if matches!(self.statement.verb, StatementKind::Begin(_)) {
                 TXN_STATEMENTS
             } else {
@@ -382,7 +382,7 @@
             None => {
                 self.inst.counters.increment(Count::Statements);
                 let latency = self.inst.now() - sent;
-                self.inst.spent(&self.route.database, latency, channel.is_queued());
+                self.inst.record_latency(&self.route.database, latency, channel.is_queued());
             }
             Some(ErrorCode::Busy) => self.inst.counters.increment(Count::ServerBusy),
             Some(ErrorCode::Lagging) => self.inst.counters.increment(Count::ServerLagging),
--- a/crates/engine/src/turnstile.rs
+++ b/crates/engine/src/turnstile.rs
@@ -196,7 +196,7 @@
                 drop(turns);
                 of.pass(now);
             }
-            Held::There { link, turn } => link.tell(Message::ReleasePermit { permit: *turn }),
+            Held::There { link, turn } => link.send(Message::ReleasePermit { permit: *turn }),
         }
     }
 }
--- a/crates/engine/src/update.rs
+++ b/crates/engine/src/update.rs
@@ -175,7 +175,7 @@
                 if digest_of(&servers) != digest {
                     return Err(UpdateError::Differs);
                 }
-                inst.set_directory(servers, revision);
+                inst.apply_directory(servers, revision);
                 Ok(())
             }
             Update::Members(all) => {
@@ -264,7 +264,10 @@
     }
     let organisations = changed.map(Organisations::new);
     let (version, txn_idle, message_bytes) = (it.version, it.txn_idle, it.message_bytes);
-    inst.adopt(Config { version, routes, groups, organisations, txn_idle, message_bytes }, it.revision);
+    inst.apply_config(
+        Config { version, routes, groups, organisations, txn_idle, message_bytes },
+        it.revision,
+    );
     Ok(())
 }
 
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -418,14 +418,14 @@
 
     /// The same, but none of some that were asked already.
     pub(crate) fn fit_peer_but(&self, inst: &Instance, owner: &Owner, asked: &[Name]) -> Option<Rc<Peer>> {
-        inst.place(self);
+        inst.update_placement(self);
         let now = inst.now();
         let (unfit, homes) = (self.unfit.borrow(), self.homes.get());
         let mut ranked: Vec<Name> =
             self.ranked.borrow().iter().take(homes + FALLBACK_INSTANCES).cloned().collect();
         if let Owner::Organisation(owner) = owner {
             let n = homes.min(ranked.len());
-            inst.order(owner, &mut ranked[..n]);
+            inst.sort_by_placement(owner, &mut ranked[..n]);
         }
         let mut full = false;
         for (at, name) in ranked.iter().enumerate() {
@@ -434,7 +434,7 @@
                 None if at >= homes && full => return None,
                 None if asked.contains(name) => {}
                 None => {
-                    let found = inst.peer(name).filter(|it| it.is_usable(now));
+                    let found = inst.peer(name).filter(|it| it.is_available(now));
                     if found.is_some() {
                         return found;
                     }
--- a/crates/engine/src/watcher.rs
+++ b/crates/engine/src/watcher.rs
@@ -109,13 +109,13 @@
     let mut servers = if whole { Vec::new() } else { old.clone() };
     for it in objects.items {
         match it.record {
-            Some(Record::Config(desired)) => inst.adopt(desired, as_of),
+            Some(Record::Config(desired)) => inst.apply_config(desired, as_of),
             Some(Record::Server(server)) => {
                 inst.unreadable.borrow_mut().remove(what, &it.name);
                 put(&mut servers, server);
             }
             Some(Record::Unreadable(why)) => {
-                inst.note_unreadable(what, &it.name, &why);
+                inst.record_unreadable(what, &it.name, &why);
                 // It names no server, also where it replaces an entry that did.
                 servers.retain(|old| old.id != it.name);
             }
@@ -127,7 +127,7 @@
         }
     }
     if what == Collection::Servers && !is_old && (servers != old || inst.revision(what).is_none()) {
-        inst.set_directory(servers, as_of);
+        inst.apply_directory(servers, as_of);
     }
 }
 
@@ -153,7 +153,7 @@
             }
             for it in group.servers().into_iter().filter(|it| it.pool.is_open()) {
                 // What this instance may keep shrinks as others come.
-                inst.place(&it);
+                inst.update_placement(&it);
                 it.pool.trim(
                     Instant::now(),
                     it.entry().draining && group.servers().len() > 1 && !is_primary(&group, it.index),
--- a/crates/pondtrackd/src/hosted.rs
+++ b/crates/pondtrackd/src/hosted.rs
@@ -5,11 +5,11 @@
     axum::{Router, http::StatusCode, routing},
     bpaf::Bpaf,
     pondtrack_engine::{
-        distribution,
+        distribution, failover,
         instance::Instance,
         lease,
         ports::{Adapters, Collection},
-        quota, relay, report, session, settings, takeover, watcher,
+        quota, relay, report, session, settings, watcher,
     },
     pondtrack_platform::{
         Boot, Lines, ObjectStore, Orders,
@@ -133,14 +133,14 @@
     tokio::task::spawn_local(distribution::join(inst.clone(), boot.seeds.clone()));
     tokio::task::spawn_local(quota::run(inst.clone()));
     tokio::task::spawn_local(report::run(inst.clone()));
-    tokio::task::spawn_local(takeover::watch(inst.clone()));
-    let lease = tokio::task::spawn_local(lease::keep(inst.clone()));
+    tokio::task::spawn_local(failover::run(inst.clone()));
+    let lease = tokio::task::spawn_local(lease::run(inst.clone()));
     let accepting = tokio::task::spawn_local(session::accept(inst.clone(), callers));
     log::info!(instance = boot.name.as_str(), zone = boot.zone.as_str(), callers:% = boot.listen.callers; "up");
     tokio::task::spawn_local(reload::follow(inst.clone(), boot.clone(), hangup));
     // It ends only with the process.
     let _ = term.recv().await;
-    inst.begin_leave();
+    inst.start_drain();
     drain(&inst).await;
     accepting.abort();
     let farewell = async { tokio::join!(watcher::deregister(&inst), lease) };
@@ -187,7 +187,7 @@
     let follow = async {
         loop {
             changed.send_replace(inst.is_ready());
-            let leave = inst.leave.notified();
+            let leave = inst.drain_started.notified();
             tokio::select! {
                 () = leave => {}
                 () = sleep(READY_PAUSE) => {}
