--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -1,14 +1,13 @@
-//! Changes of primary.
+//! Failover: detects failed primaries and replaces them.
 //!
-//! The holder of the [`crate::lease`] watches each group's primary. To replace it, it chooses the replica
-//! with the longest log as the next primary and stops all other replicas from receiving. From then on a
-//! commit of the old primary can only be acknowledged with the chosen replica's word, and a read of the
-//! old primary only be confirmed by it; both end the moment it becomes the primary. So nothing that was
-//! acknowledged is lost, and the old primary needn't be reached. Where a replica can't be stopped, the old
-//! primary has to step down before another is promoted; where neither can be had, nobody is.
+//! The holder of the [`crate::lease`] monitors each group's primary. To replace the primary, the holder selects the replica
+//! with the longest log as the candidate and pauses replication on all other replicas. From then on, the old primary's
+//! commits can only be acknowledged, and its reads only confirmed, by the candidate; both end when the candidate is
+//! promoted. No acknowledged commit is lost, and the old primary needn't be reachable. If a replica can't be paused, the
+//! old primary must step down before the promotion; if neither is possible, no server is promoted.
 
 use {
-    self::attempt::Change,
+    self::attempt::Attempt,
     crate::{
         group::Group,
         instance::{Instance, Micros, micros},
@@ -24,195 +23,204 @@
 
 mod attempt;
 
-/// Between two looks at the groups.
-const LOOK: Duration = Duration::from_millis(100);
-/// A primary that wasn't heard for this long is asked.
-const ASK_PRIMARY: Duration = Duration::from_millis(300);
-/// The same for replicas, whose logs are compared with the primary's.
-const ASK_REPLICA: Duration = Duration::from_millis(1_000);
-/// Silence after which a primary is given up: an answer may take 400 ms behind long statements.
-const SILENCE: Duration = Duration::from_millis(500);
-/// The same for an instance that has just started: when all come back from a loss of power, servers are busy
-/// with their connections, and a question may wait for a second.
-const YOUNG_SILENCE: Duration = Duration::from_millis(1_500);
-/// For how long an instance counts as just started.
-const YOUNG: Duration = Duration::from_secs(5);
-/// Time for which its address refuses connections until it is given up: the process is gone.
-const REFUSED: Duration = Duration::from_millis(150);
-/// Time without a primary.
-const ABSENT: Duration = Duration::from_millis(600);
-/// Time for which no replica receives what the primary writes.
-const STALLED: Duration = Duration::from_millis(700);
-/// Between two changes of one group that failed.
-const COOLDOWN: Duration = Duration::from_millis(300);
-/// Why a primary is replaced.
+/// Interval at which the groups are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time since the last contact after which a primary's status is requested.
+const PRIMARY_STATUS_INTERVAL: Duration = Duration::from_millis(300);
+/// Maximum age of a replica's status, whose log position is compared with the primary's.
+const REPLICA_STATUS_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time without an answer after which a primary is considered failed. An answer behind long statements may take 400 ms.
+const PRIMARY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Primary timeout of an instance that has just started. When all processes restart after a power loss, servers are busy
+/// accepting connections, and a status request may wait for a second.
+const STARTUP_PRIMARY_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Uptime below which an instance counts as just started.
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
+/// Time for which a primary's address must refuse connections before the primary is considered failed. The time is short
+/// because a refusal means that the process has ended.
+const REFUSED_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time without a known primary after which a replica is promoted.
+const ABSENT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time without replication progress on any replica after which a primary is replaced.
+const STALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Delay after a failed failover of a group.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+
+/// The reason for a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 enum Cause {
-    /// It is about to leave.
+    /// The primary is draining.
     Leaving,
-    /// Its address refuses connections.
+    /// The primary's address refuses connections.
     Refused,
-    /// It doesn't answer.
+    /// The primary doesn't answer.
     Silent,
-    /// No replica receives what it writes.
+    /// No replica receives the primary's log.
     Stalled,
-    /// No server leads.
+    /// No primary is known.
     Absent,
 }
 
-/// Why a change didn't come about.
-type Failed = &'static str;
+/// The reason why a failover failed.
+type Failure = &'static str;
 
-/// What a change begins with.
+/// The condition that triggered a failover.
 #[derive(Clone, Copy, Debug)]
-struct Begin {
+struct Trigger {
     cause: Cause,
-    /// The position of the primary that no replica was seen to have.
-    ahead: Option<Lsn>,
+    /// The primary's position that no replica is known to have received.
+    unreplicated: Option<Lsn>,
 }
 
-/// Watches the groups while this instance has the right to give orders, for good.
+/// Monitors the groups while this instance holds the lease, and starts failovers. Never returns.
 pub async fn run(inst: Rc<Instance>) {
-    let mut watched: Vec<Watched> = Vec::new();
+    let mut monitors: Vec<Monitor> = Vec::new();
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         if inst.fencing_token().is_none() {
-            watched.clear();
+            monitors.clear();
             continue;
         }
-        for group in inst.groups().into_iter().filter(|it| inst.is_configured(&it.name)) {
-            let at = watched.binary_search_by(|it| it.group.name.cmp(&group.name)).unwrap_or_else(|at| {
-                watched.insert(at, Watched::new(group.clone(), inst.now()));
+        for group in inst.groups().into_iter().filter(|group| inst.is_configured(&group.name)) {
+            let at = monitors.binary_search_by(|m| m.group.name.cmp(&group.name)).unwrap_or_else(|at| {
+                monitors.insert(at, Monitor::new(group.clone(), inst.now()));
                 at
             });
-            watched[at].look(&inst);
+            monitors[at].check(&inst);
         }
         inst.leaders.sync(&inst);
     }
 }
 
-/// A position of the primary that no replica has received yet.
+/// A position of the primary that no replica is known to have received.
 #[derive(Clone, Copy)]
-struct Ahead {
+struct Unreplicated {
     since: Micros,
     position: Lsn,
 }
 
-/// A group under watch.
-struct Watched {
+/// Failure detector of a group.
+struct Monitor {
     group: Rc<Group>,
+    /// Time at which monitoring began.
     since: Micros,
-    ahead: Option<Ahead>,
-    change: Option<tokio::task::JoinHandle<()>>,
+    unreplicated: Option<Unreplicated>,
+    /// The last failover of the group, which may have ended.
+    task: Option<tokio::task::JoinHandle<()>>,
 }
 
-impl Watched {
-    fn new(group: Rc<Group>, now: Micros) -> Watched {
-        Watched { group, since: now, ahead: None, change: None }
+impl Monitor {
+    fn new(group: Rc<Group>, now: Micros) -> Monitor {
+        Monitor { group, since: now, unreplicated: None, task: None }
     }
 
-    fn look(&mut self, inst: &Rc<Instance>) {
+    /// Updates the evidence about the group and starts a failover if there is a cause and none is running.
+    fn check(&mut self, inst: &Rc<Instance>) {
         let now = inst.now();
-        ask(&self.group, now);
-        self.compare(now);
-        if self.change.as_ref().is_some_and(|it| !it.is_finished()) {
+        request_statuses(&self.group, now);
+        self.compare_logs(now);
+        if self.task.as_ref().is_some_and(|task| !task.is_finished()) {
             return;
         }
         match self.cause(now) {
             Some(cause) => {
-                let ahead = self.ahead.map(|it| it.position);
-                let change = change(inst.clone(), self.group.clone(), Begin { cause, ahead });
-                self.change = Some(tokio::task::spawn_local(change));
-                self.ahead = None;
+                let unreplicated = self.unreplicated.map(|u| u.position);
+                let failover = fail_over(inst.clone(), self.group.clone(), Trigger { cause, unreplicated });
+                self.task = Some(tokio::task::spawn_local(failover));
+                self.unreplicated = None;
             }
-            None => tidy(inst, &self.group, now),
+            None => clean_up(inst, &self.group, now),
         }
     }
 
-    /// Compares the replicas' logs with the primary's.
-    fn compare(&mut self, now: Micros) {
+    /// Compares the replicas' log positions with the primary's.
+    fn compare_logs(&mut self, now: Micros) {
         let Some(primary) = self.group.primary() else {
-            self.ahead = None;
+            self.unreplicated = None;
             return;
         };
         let servers = self.group.servers();
         let term = self.group.term();
-        let counts = |it: &&Rc<Upstream>| it.index != primary.index && self.group.counts(it, term);
+        let counts = |s: &&Rc<Upstream>| s.index != primary.index && self.group.counts(s, term);
         let replicas: Vec<_> = servers.iter().filter(counts).collect();
-        let reached = replicas.iter().filter_map(|it| it.status()).map(|it| it.1.received.lsn).max();
-        let written = primary.status().map_or(Lsn::default(), |it| it.1.received.lsn);
-        let reached = reached.unwrap_or_default();
-        self.ahead = match self.ahead {
-            _ if servers.len() == 1 || written <= reached => None,
-            Some(it) if reached < it.position => Some(it),
-            _ => Some(Ahead { since: now, position: written }),
+        let replicated = replicas.iter().filter_map(|s| s.status()).map(|s| s.1.received.lsn).max();
+        let written = primary.status().map_or(Lsn::default(), |status| status.1.received.lsn);
+        let replicated = replicated.unwrap_or_default();
+        self.unreplicated = match self.unreplicated {
+            _ if servers.len() == 1 || written <= replicated => None,
+            Some(u) if replicated < u.position => Some(u),
+            _ => Some(Unreplicated { since: now, position: written }),
         };
-        // A verdict needs answers of the replicas that came after the time for them was over.
-        if let Some(it) = self.ahead.filter(|it| now >= it.since + micros(STALLED)) {
-            replicas.iter().for_each(|replica| replica.ask_after(it.since + micros(STALLED)));
+        // Only statuses requested after the timeout show if the replicas are stalled.
+        if let Some(u) = self.unreplicated.filter(|u| now >= u.since + micros(STALL_TIMEOUT)) {
+            replicas.iter().for_each(|replica| replica.ask_after(u.since + micros(STALL_TIMEOUT)));
         }
     }
 
-    /// Whether no replica has received, after long enough, what the primary had.
+    /// Returns true if no replica received the unreplicated position within [`STALL_TIMEOUT`].
     fn is_stalled(&self) -> bool {
-        let Some(ahead) = self.ahead else { return false };
-        let primary = self.group.primary().map(|it| it.index);
-        let late = ahead.since.max(self.since) + micros(STALLED);
+        let Some(unreplicated) = self.unreplicated else { return false };
+        let primary = self.group.primary().map(|s| s.index);
+        let deadline = unreplicated.since.max(self.since) + micros(STALL_TIMEOUT);
         let servers = self.group.servers();
-        let mut replicas = servers.iter().filter(|it| Some(it.index) != primary);
-        replicas.all(|it| it.silent().is_some() || it.status().is_some_and(|it| it.0 >= late))
+        let mut replicas = servers.iter().filter(|s| Some(s.index) != primary);
+        replicas.all(|s| s.silent().is_some() || s.status().is_some_and(|status| status.0 >= deadline))
     }
 
+    /// Returns the cause for a failover, if there is one.
     fn cause(&self, now: Micros) -> Option<Cause> {
-        let over = |since: Option<Micros>, limit: Duration| {
+        let elapsed = |since: Option<Micros>, limit: Duration| {
             since.is_some_and(|at| now.saturating_sub(at) >= micros(limit))
         };
-        // What was seen before this instance could act counts, but for what it didn't watch until then.
-        let watched = |since: Option<Micros>| since.map(|at| at.max(self.since));
+        // Evidence from before monitoring began counts, except that the absence of a primary is counted from then on.
+        let monitored = |since: Option<Micros>| since.map(|at| at.max(self.since));
         let Some(primary) = self.group.primary() else {
-            return over(watched(self.group.absent()), ABSENT).then_some(Cause::Absent);
+            return elapsed(monitored(self.group.absent()), ABSENT_TIMEOUT).then_some(Cause::Absent);
         };
         if primary.entry().draining {
             return Some(Cause::Leaving);
         }
-        if over(primary.refused(), REFUSED) {
+        if elapsed(primary.refused(), REFUSED_TIMEOUT) {
             return Some(Cause::Refused);
         }
-        if over(primary.silent(), primary_timeout(now)) {
+        if elapsed(primary.silent(), primary_timeout(now)) {
             return Some(Cause::Silent);
         }
         self.is_stalled().then_some(Cause::Stalled)
     }
 }
 
-/// Silence after which an instance that runs since `uptime` microseconds gives a primary up.
+/// Returns the time without an answer after which an instance considers a primary failed; `uptime` is the instance's
+/// uptime in microseconds.
 pub fn primary_timeout(uptime: Micros) -> Duration {
-    if uptime < micros(YOUNG) { YOUNG_SILENCE } else { SILENCE }
+    if uptime < micros(STARTUP_PERIOD) { STARTUP_PRIMARY_TIMEOUT } else { PRIMARY_TIMEOUT }
 }
 
-/// Asks servers that weren't asked lately.
-fn ask(group: &Group, now: Micros) {
-    let primary = group.primary().map(|it| it.index);
-    for it in group.servers() {
-        let (age, known) = match primary == Some(it.index) {
-            // Any answer shows that it is there; how far its log goes is wanted more rarely.
-            true => (ASK_PRIMARY, Some(it.heard())),
-            false => (ASK_REPLICA, it.status().map(|it| it.0)),
+/// Requests the status of each server whose status is outdated.
+fn request_statuses(group: &Group, now: Micros) {
+    let primary = group.primary().map(|s| s.index);
+    for server in group.servers() {
+        let (max_age, known) = match primary == Some(server.index) {
+            // Any answer shows that the primary is up; its log position is needed less often.
+            true => (PRIMARY_STATUS_INTERVAL, Some(server.heard())),
+            false => (REPLICA_STATUS_INTERVAL, server.status().map(|status| status.0)),
         };
-        let limit = now.saturating_sub(micros(age));
-        let stated = it.status().is_some_and(|it| it.0 >= now.saturating_sub(micros(ASK_REPLICA)));
-        if !stated || known.is_none_or(|at| at < limit) {
-            it.ask_after(limit);
+        let limit = now.saturating_sub(micros(max_age));
+        let is_recent = server
+            .status()
+            .is_some_and(|status| status.0 >= now.saturating_sub(micros(REPLICA_STATUS_INTERVAL)));
+        if !is_recent || known.is_none_or(|at| at < limit) {
+            server.ask_after(limit);
         }
     }
 }
 
-/// Undoes what a change that didn't end has left: stopped replicas, and primaries of earlier terms.
-fn tidy(inst: &Rc<Instance>, group: &Rc<Group>, now: Micros) {
-    let limit = now.saturating_sub(micros(ASK_REPLICA));
-    for it in group.servers() {
-        let order = match it.status() {
+/// Reverts the effects of an interrupted failover: resumes paused replicas, and makes primaries of earlier terms step down.
+fn clean_up(inst: &Rc<Instance>, group: &Rc<Group>, now: Micros) {
+    let limit = now.saturating_sub(micros(REPLICA_STATUS_INTERVAL));
+    for server in group.servers() {
+        let order = match server.status() {
             Some((at, status)) if at >= limit => match status {
                 Status { paused: Some(_), .. } => Order::Resume,
                 Status { role: Role::Primary, term, .. } if term < group.term() => {
@@ -222,28 +230,29 @@
             },
             _ => continue,
         };
-        log::info!(group = group.name.as_str(), server = it.entry().id.as_str(); "left over from a change: {order:?}");
+        log::info!(group = group.name.as_str(), server = server.entry().id.as_str(); "cleaning up after an interrupted failover: {order:?}");
         let (inst, group) = (inst.clone(), group.clone());
-        tokio::task::spawn_local(async move { send_order(&inst, &group, &it, &order).await });
+        tokio::task::spawn_local(async move { send_order(&inst, &group, &server, &order).await });
     }
 }
 
-async fn change(inst: Rc<Instance>, group: Rc<Group>, begin: Begin) {
-    let cause = begin.cause;
-    let began = Instant::now();
+/// Performs a failover and logs its result. After a failure, waits for [`RETRY_DELAY`].
+async fn fail_over(inst: Rc<Instance>, group: Rc<Group>, trigger: Trigger) {
+    let cause = trigger.cause;
+    let started_at = Instant::now();
     let term = group.term();
-    let old = group.primary().map_or(Name::new(), |it| it.entry().id.clone());
+    let old = group.primary().map_or(Name::new(), |s| s.entry().id.clone());
     log::info!(group = group.name.as_str(), primary = old.as_str(), term = term.0, cause:% = cause; "change of primary begins");
-    let changed =
-        Change { inst: &inst, group: &group, term, forgotten: group.forgotten(), begin }.run().await;
-    let took_ms = began.elapsed().as_millis() as u64;
-    match changed {
+    let result =
+        Attempt { inst: &inst, group: &group, term, forgotten: group.forgotten(), trigger }.run().await;
+    let took_ms = started_at.elapsed().as_millis() as u64;
+    match result {
         Ok(id) => {
             log::info!(group = group.name.as_str(), primary = id.as_str(), term = group.term().0, took_ms; "change of primary done");
         }
         Err(why) => {
             log::warn!(group = group.name.as_str(), term = term.0, cause:% = cause, took_ms; "change of primary failed: {why}");
-            sleep(COOLDOWN).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/engine/src/failover/attempt.rs
+++ b/crates/engine/src/failover/attempt.rs
@@ -1,7 +1,7 @@
-//! One change of a group's primary, from its first question to the last replica that may receive again.
+//! A single failover of a group, from the first status request until the last paused replica is resumed.
 
 use {
-    super::{Begin, Cause, Failed},
+    super::{Cause, Failure, Trigger},
     crate::{
         count::Count,
         group::Group,
@@ -18,208 +18,211 @@
     tokio::time::{Instant, sleep},
 };
 
-/// Time for the next primary to lead; the platform names 300 to 600 ms.
-const LEAD_LIMIT: Duration = Duration::from_millis(1_500);
-/// Between two looks at the next primary.
-const LEAD_PAUSE: Duration = Duration::from_millis(40);
-/// Most orders in one change.
-const ORDERS: usize = 3;
+/// Time within which a promoted server must lead; the platform states 300 to 600 ms.
+const PROMOTION_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval at which the candidate's status is polled, and delay after a refused promotion order.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum number of promotion orders per failover.
+const MAX_ORDERS: usize = 3;
 
-/// One change of a group's primary.
-pub(super) struct Change<'a> {
+/// A single failover of a group.
+pub(super) struct Attempt<'a> {
     pub(super) inst: &'a Rc<Instance>,
     pub(super) group: &'a Rc<Group>,
-    /// The term that is to end.
+    /// The term to end.
     pub(super) term: Term,
-    /// How often a server had forgotten what it held when the change began.
+    /// Number of restarts and log losses of the group's servers seen when the failover began.
     pub(super) forgotten: u64,
-    pub(super) begin: Begin,
+    pub(super) trigger: Trigger,
 }
 
-impl Change<'_> {
-    pub(super) async fn run(&self) -> Result<Name, Failed> {
+impl Attempt<'_> {
+    /// Performs the failover and returns the id of the new primary.
+    pub(super) async fn run(&self) -> Result<Name, Failure> {
         let mut old = self.group.primary();
         let mut others = self.others(old.as_deref());
-        let answers = join_all(others.iter().map(|it| self.give(it, Order::Status))).await;
-        if self.group.term() > self.term || self.came_back(old.as_deref()) {
-            return Err("it is no longer needed");
+        let answers = join_all(others.iter().map(|s| self.send(s, Order::Status))).await;
+        if self.group.term() > self.term || self.is_recovered(old.as_deref()) {
+            return Err("the failover is no longer needed");
         }
-        let mut known: Vec<(Rc<Upstream>, Status)> =
-            others.iter().zip(answers).filter_map(|(it, status)| Some((it.clone(), status?))).collect();
-        if let Some(it) = self.lost_leader(&known)? {
-            others.retain(|other| other.index != it.index);
-            old = Some(it);
+        let mut replicas: Vec<(Rc<Upstream>, Status)> =
+            others.iter().zip(answers).filter_map(|(s, status)| Some((s.clone(), status?))).collect();
+        if let Some(primary) = self.find_log_loss(&replicas)? {
+            others.retain(|other| other.index != primary.index);
+            old = Some(primary);
         }
-        known.retain(|it| it.1.role == Role::Replica);
-        self.check_last_copy(&known)?;
-        let counts = |it: &Upstream| self.group.counts(it, self.term);
-        let has = |at: Lsn| known.iter().any(|it| it.1.received.lsn >= at && counts(&it.0));
-        if self.begin.cause == Cause::Stalled && self.begin.ahead.is_some_and(has) {
-            // Replicas that gave no answer before may have received it all the while.
-            return Err("a replica has received what the primary wrote");
+        replicas.retain(|r| r.1.role == Role::Replica);
+        self.check_last_copy(&replicas)?;
+        let counts = |s: &Upstream| self.group.counts(s, self.term);
+        let has = |at: Lsn| replicas.iter().any(|r| r.1.received.lsn >= at && counts(&r.0));
+        if self.trigger.cause == Cause::Stalled && self.trigger.unreplicated.is_some_and(has) {
+            // Replicas that didn't answer before may have received the log the whole time.
+            return Err("a replica has received the primary's log");
         }
-        // The longest log first; of equal ones a server that stays.
-        known.sort_by_key(|it| (std::cmp::Reverse(it.1.received), it.0.entry().draining));
-        let Some(target) = known.first().map(|it| it.0.clone()) else { return Err("no replica answers") };
+        // The longest log first; of equally long ones, a server that isn't draining.
+        replicas.sort_by_key(|r| (std::cmp::Reverse(r.1.received), r.0.entry().draining));
+        let Some(candidate) = replicas.first().map(|r| r.0.clone()) else { return Err("no replica answers") };
         if old.is_none() {
-            old = self.unheard(&others, &known).await;
+            old = self.unseen_primary(&others, &replicas).await;
             others = self.others(old.as_deref());
         }
-        let target = self.stop_others(&others, &target, old.as_ref()).await?;
-        // No promotion is ordered in a group without a record.
-        let server = old.as_ref().map(|it| it.entry().id.clone());
-        let led = match self.record(LeaderRecord { term: self.term, server }).await {
-            Some(_) => self.promote(&target).await,
-            None => Err("the store doesn't take who led"),
+        let candidate = self.pause_others(&others, &candidate, old.as_ref()).await?;
+        // No promotion is ordered in a group without a leader record.
+        let server = old.as_ref().map(|s| s.entry().id.clone());
+        let result = match self.record(LeaderRecord { term: self.term, server }).await {
+            Some(_) => self.promote(&candidate).await,
+            None => Err("the store doesn't accept the leader record"),
         };
-        self.clean(&others, old.as_deref(), &target).await;
-        led.map(|()| target.entry().id.clone())
+        self.clean_up(&others, old.as_deref(), &candidate).await;
+        result.map(|()| candidate.entry().id.clone())
     }
 
-    /// Fails if a primary answers; hands back one that has lost its log, which is replaced like one that is silent.
-    fn lost_leader(&self, known: &[(Rc<Upstream>, Status)]) -> Result<Option<Rc<Upstream>>, Failed> {
-        let leads = |it: &&(Rc<Upstream>, Status)| it.1.role == Role::Primary && it.1.term >= self.term;
-        match known.iter().find(leads) {
+    /// Returns the primary if it answers but has lost its log; it is replaced like an unreachable one. Fails if another
+    /// primary answers.
+    fn find_log_loss(&self, statuses: &[(Rc<Upstream>, Status)]) -> Result<Option<Rc<Upstream>>, Failure> {
+        let leads = |s: &&(Rc<Upstream>, Status)| s.1.role == Role::Primary && s.1.term >= self.term;
+        match statuses.iter().find(leads) {
             None => Ok(None),
-            Some((it, _)) if self.group.lacks(it) => Ok(Some(it.clone())),
+            Some((primary, _)) if self.group.lacks(primary) => Ok(Some(primary.clone())),
             Some(_) => Err("a primary was found"),
         }
     }
 
-    /// Fails where only the lost primary may hold what was acknowledged: a replica came back with nothing in this term, and
-    /// none had caught up with the primary since. The primary comes back with its log, or its entry goes; then what is
-    /// left has to do.
-    fn check_last_copy(&self, replicas: &[(Rc<Upstream>, Status)]) -> Result<(), Failed> {
-        let lost = matches!(self.begin.cause, Cause::Silent | Cause::Refused | Cause::Absent);
-        let Some(unrecovered) = self.group.unrecovered().filter(|_| lost) else { return Ok(()) };
-        let heard = |it: &Upstream| replicas.iter().any(|known| known.0.index == it.index);
-        if self.group.led_by().is_some_and(|it| !heard(&it)) {
+    /// Fails if only the failed primary may hold acknowledged commits: a replica lost its log in this term, and no replica
+    /// has caught up with the primary since. The failover can proceed once the primary is back with its log, or its entry
+    /// was removed; in the latter case the remaining logs have to suffice.
+    fn check_last_copy(&self, replicas: &[(Rc<Upstream>, Status)]) -> Result<(), Failure> {
+        let failed = matches!(self.trigger.cause, Cause::Silent | Cause::Refused | Cause::Absent);
+        let Some(unrecovered) = self.group.unrecovered().filter(|_| failed) else { return Ok(()) };
+        let answered = |s: &Upstream| replicas.iter().any(|r| r.0.index == s.index);
+        if self.group.led_by().is_some_and(|leader| !answered(&leader)) {
             return Err("a replica came back with nothing, and only the primary may hold what it had");
         }
         self.inst.counters.increment(Count::Losses);
         let (group, term) = (self.group.name.as_str(), self.term.0);
-        log::error!(group, server = unrecovered.as_str(), term; "acknowledged writes may be lost: the server came back with nothing, and the primary is gone");
+        log::error!(group, server = unrecovered.as_str(), term; "acknowledged writes may be lost: the replica lost its log, and the primary is no longer available");
         Ok(())
     }
 
-    /// Servers beside the primary; those that leave only if there are no others.
+    /// Returns the group's servers except the old primary.
     fn others(&self, old: Option<&Upstream>) -> Vec<Rc<Upstream>> {
         let mut others = self.group.servers();
-        others.retain(|it| old.is_none_or(|old| old.index != it.index));
+        others.retain(|s| old.is_none_or(|old| old.index != s.index));
         others
     }
 
-    async fn give(&self, it: &Upstream, order: Order) -> Option<Status> {
-        send_order(self.inst, self.group, it, &order).await
+    async fn send(&self, server: &Upstream, order: Order) -> Option<Status> {
+        send_order(self.inst, self.group, server, &order).await
     }
 
-    /// The primary, where this instance never heard it: the only server without an answer, if it is proved that it leads.
-    /// Else that server may be a replica that speaks for another one.
-    async fn unheard(
+    /// Returns the primary if this instance never had contact with it: the only server without an answer, provided that
+    /// it is proven to be the leader. Otherwise, that server may be a replica that confirms another server's commits.
+    async fn unseen_primary(
         &self,
         others: &[Rc<Upstream>],
         replicas: &[(Rc<Upstream>, Status)],
     ) -> Option<Rc<Upstream>> {
-        let mut rest = others.iter().filter(|it| replicas.iter().all(|known| known.0.index != it.index));
+        let mut rest = others.iter().filter(|s| replicas.iter().all(|r| r.0.index != s.index));
         let is_settled = self.group.is_settled(self.inst.now());
-        let (Some(it), None, true) = (rest.next(), rest.next(), is_settled) else { return None };
+        let (Some(server), None, true) = (rest.next(), rest.next(), is_settled) else { return None };
         let leader =
-            self.inst.leaders.proven_leader(self.inst, self.group).filter(|id| *id == it.entry().id)?;
+            self.inst.leaders.proven_leader(self.inst, self.group).filter(|id| *id == server.entry().id)?;
         log::info!(group = self.group.name.as_str(), server = leader.as_str(), term = self.term.0; "leads, and was never heard here");
         let proof = LeaderRecord { term: self.term, server: Some(leader) };
-        // What another instance recorded meanwhile goes first.
-        (self.record(proof.clone()).await? == proof).then(|| it.clone())
+        // A record written by another instance in the meantime takes precedence.
+        (self.record(proof.clone()).await? == proof).then(|| server.clone())
     }
 
-    /// The record of who led the group; `leader` becomes it if there was none. None if the store doesn't answer.
+    /// Returns the group's leader record; `leader` is written if there is none. Returns none if the store doesn't answer.
     async fn record(&self, leader: LeaderRecord) -> Option<LeaderRecord> {
         self.inst.leaders.ensure_recorded(self.inst, &self.group.name, leader).await
     }
 
-    /// Whether the primary was heard after it had been given up.
-    fn came_back(&self, old: Option<&Upstream>) -> bool {
+    /// Returns true if the primary has been in contact again since the failover was triggered.
+    fn is_recovered(&self, old: Option<&Upstream>) -> bool {
         let Some(old) = old else { return false };
-        match self.begin.cause {
+        match self.trigger.cause {
             Cause::Silent => old.silent().is_none(),
             Cause::Refused => old.refused().is_none(),
             Cause::Leaving | Cause::Stalled | Cause::Absent => false,
         }
     }
 
-    /// Stops every replica but the next primary from receiving; where one can't be reached, the old primary
-    /// has to step down instead. Hands back the next primary: another one if a stopped replica turns out to
-    /// have a longer log.
-    async fn stop_others(
+    /// Pauses replication on every replica except the candidate; if a replica can't be reached, the old primary has to
+    /// step down instead. Returns the candidate, which changes if a paused replica turns out to have a longer log.
+    async fn pause_others(
         &self,
         others: &[Rc<Upstream>],
-        target: &Rc<Upstream>,
+        candidate: &Rc<Upstream>,
         old: Option<&Rc<Upstream>>,
-    ) -> Result<Rc<Upstream>, Failed> {
+    ) -> Result<Rc<Upstream>, Failure> {
         let next = Term(self.term.0 + 1);
-        let rest: Vec<&Rc<Upstream>> = others.iter().filter(|it| it.index != target.index).collect();
-        let answers = join_all(rest.iter().map(|it| self.give(it, Order::Pause(next)))).await;
+        let rest: Vec<&Rc<Upstream>> = others.iter().filter(|s| s.index != candidate.index).collect();
+        let answers = join_all(rest.iter().map(|s| self.send(s, Order::Pause(next)))).await;
         let longest = match answers.iter().any(Option::is_none) {
-            // A replica that isn't stopped may come back at any time and speak for the old primary.
-            true => self.retire(old, target, next).await,
-            false => Ok(self.longest(&rest, &answers)),
+            // A replica that isn't paused may come back at any time and confirm commits of the old primary.
+            true => self.step_down(old, candidate, next).await,
+            false => Ok(self.longest_log(&rest, &answers)),
         };
         let Some((longest, received)) = (match longest {
-            Ok(it) => it,
+            Ok(longest) => longest,
             Err(why) => {
                 self.resume(&rest).await;
                 return Err(why);
             }
         }) else {
-            return Ok(target.clone());
+            return Ok(candidate.clone());
         };
-        let own = self.give(target, Order::Status).await.ok_or("the next primary doesn't answer")?;
+        let own = self.send(candidate, Order::Status).await.ok_or("the candidate doesn't answer")?;
         if own.received >= received {
-            return Ok(target.clone());
+            return Ok(candidate.clone());
         }
-        // What it lacks may have been acknowledged with another's word.
-        match self.give(target, Order::Pause(next)).await {
+        // The entries that the candidate lacks may have been acknowledged by another server.
+        match self.send(candidate, Order::Pause(next)).await {
             Some(_) => Ok(longest),
-            None => Err("the next primary doesn't answer"),
+            None => Err("the candidate doesn't answer"),
         }
     }
 
-    /// The stopped replica with the longest log.
-    fn longest(
+    /// Returns the paused replica with the longest log, and its log position.
+    fn longest_log(
         &self,
         rest: &[&Rc<Upstream>],
         answers: &[Option<Status>],
     ) -> Option<(Rc<Upstream>, LogPosition)> {
-        let stopped = rest.iter().zip(answers);
-        let stopped = stopped.filter_map(|(it, status)| Some(((*it).clone(), status.as_ref()?.received)));
-        stopped.max_by_key(|it| it.1)
+        let paused = rest.iter().zip(answers);
+        let paused = paused.filter_map(|(s, status)| Some(((*s).clone(), status.as_ref()?.received)));
+        paused.max_by_key(|p| p.1)
     }
 
-    /// Has the old primary step down where a replica can't be stopped. What it holds beyond the next one may
-    /// have been acknowledged with that replica's word: then it stays, or leads again.
-    async fn retire(
+    /// Makes the old primary step down because a replica can't be paused, and returns the old primary and its log position.
+    /// Entries that the old primary holds and the candidate lacks may have been acknowledged by that replica; in this case
+    /// the old primary keeps leading, or becomes the candidate.
+    async fn step_down(
         &self,
         old: Option<&Rc<Upstream>>,
-        target: &Upstream,
+        candidate: &Upstream,
         next: Term,
-    ) -> Result<Option<(Rc<Upstream>, LogPosition)>, Failed> {
-        const NEITHER: Failed = "neither all replicas nor the primary can be stopped";
-        let old = old.ok_or(NEITHER)?;
-        let (before, own) = tokio::join!(self.give(old, Order::Status), self.give(target, Order::Status));
-        let (before, own) = (before.ok_or(NEITHER)?, own.ok_or("the next primary doesn't answer")?);
+    ) -> Result<Option<(Rc<Upstream>, LogPosition)>, Failure> {
+        const NOT_FENCED: Failure = "neither all replicas nor the primary can be stopped";
+        let old = old.ok_or(NOT_FENCED)?;
+        let (before, own) = tokio::join!(self.send(old, Order::Status), self.send(candidate, Order::Status));
+        let (before, own) = (before.ok_or(NOT_FENCED)?, own.ok_or("the candidate doesn't answer")?);
         if own.received < before.received {
-            return Err("the primary holds more than the next one would");
+            return Err("the primary's log is longer than the candidate's");
         }
-        let after = self.give(old, Order::StepDown(next)).await.filter(|it| it.role == Role::Replica);
-        let after = after.ok_or(NEITHER)?;
-        // What is under way to the next one arrives meanwhile.
-        sleep(LEAD_PAUSE).await;
+        let after = self.send(old, Order::StepDown(next)).await.filter(|status| status.role == Role::Replica);
+        let after = after.ok_or(NOT_FENCED)?;
+        // Entries in flight to the candidate arrive in the meantime.
+        sleep(POLL_INTERVAL).await;
         Ok(Some((old.clone(), after.received)))
     }
 
-    async fn promote(&self, target: &Upstream) -> Result<(), Failed> {
-        let entry = target.entry();
-        for _ in 0..ORDERS {
-            let token = self.inst.fencing_token().ok_or("the right to promote has ended")?;
+    /// Orders the promotion of a server until it leads, at most [`MAX_ORDERS`] times.
+    async fn promote(&self, candidate: &Upstream) -> Result<(), Failure> {
+        let entry = candidate.entry();
+        for _ in 0..MAX_ORDERS {
+            let token = self.inst.fencing_token().ok_or("the failover lease has expired")?;
             if self.group.forgotten() != self.forgotten {
                 return Err("a server that was asked has forgotten what it held");
             }
@@ -227,49 +230,49 @@
             let holder = self.inst.settings.name.clone();
             let order =
                 self.inst.adapters.promoter.promote(self.group.name.clone(), entry.id.clone(), holder, token);
-            let ordered = order.await;
-            log::info!(group = self.group.name.as_str(), server = entry.id.as_str(), token, outcome:? = ordered; "promotion ordered");
-            match ordered {
+            let outcome = order.await;
+            log::info!(group = self.group.name.as_str(), server = entry.id.as_str(), token, outcome:? = outcome; "promotion ordered");
+            match outcome {
                 Ok(()) | Err(PromoteError::Unanswered { .. }) => {}
-                Err(PromoteError::NotRunning) => return Err("the next primary isn't running"),
+                Err(PromoteError::NotRunning) => return Err("the candidate isn't running"),
                 Err(PromoteError::Refused { .. }) => {
-                    sleep(LEAD_PAUSE).await;
+                    sleep(POLL_INTERVAL).await;
                     continue;
                 }
             }
-            if self.leads(target).await {
+            if self.wait_promoted(candidate).await {
                 return Ok(());
             }
         }
-        Err("the next primary doesn't lead")
+        Err("the candidate doesn't lead")
     }
 
-    /// Waits until a server leads a later term.
-    async fn leads(&self, target: &Upstream) -> bool {
-        let end = Instant::now() + LEAD_LIMIT;
-        while Instant::now() < end {
-            match self.give(target, Order::Status).await {
-                Some(it) if it.role == Role::Primary && it.term > self.term => return true,
-                _ => sleep(LEAD_PAUSE).await,
+    /// Waits until a server leads a later term; returns false after [`PROMOTION_TIMEOUT`].
+    async fn wait_promoted(&self, candidate: &Upstream) -> bool {
+        let deadline = Instant::now() + PROMOTION_TIMEOUT;
+        while Instant::now() < deadline {
+            match self.send(candidate, Order::Status).await {
+                Some(status) if status.role == Role::Primary && status.term > self.term => return true,
+                _ => sleep(POLL_INTERVAL).await,
             }
         }
         false
     }
 
-    /// Lets replicas receive again, and makes the old primary follow if it can be reached.
-    async fn clean(&self, others: &[Rc<Upstream>], old: Option<&Upstream>, target: &Upstream) {
-        let rest: Vec<&Rc<Upstream>> = others.iter().filter(|it| it.index != target.index).collect();
+    /// Resumes paused replicas, and makes the old primary step down if it is reachable.
+    async fn clean_up(&self, others: &[Rc<Upstream>], old: Option<&Upstream>, candidate: &Upstream) {
+        let rest: Vec<&Rc<Upstream>> = others.iter().filter(|s| s.index != candidate.index).collect();
         let term = self.group.term();
         let step_down = async {
-            let other = |it: &&Upstream| it.index != target.index && it.silent().is_none();
-            if let Some(old) = old.filter(|it| term > self.term && other(it)) {
-                self.give(old, Order::StepDown(term)).await;
+            let is_other = |s: &&Upstream| s.index != candidate.index && s.silent().is_none();
+            if let Some(old) = old.filter(|s| term > self.term && is_other(s)) {
+                self.send(old, Order::StepDown(term)).await;
             }
         };
         tokio::join!(self.resume(&rest), step_down);
     }
 
     async fn resume(&self, servers: &[&Rc<Upstream>]) {
-        join_all(servers.iter().map(|it| self.give(it, Order::Resume))).await;
+        join_all(servers.iter().map(|s| self.send(s, Order::Resume))).await;
     }
 }
