--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -83,7 +83,7 @@
     if up.overloaded_since.get().is_none() || up.dispatcher_retry_at.get() > inst.now() {
         return Dispatcher::PerInstance;
     }
-    inst.place(up);
+    inst.update_placement(up);
     match up.dispatcher() {
         Some(name) => Dispatcher::Remote(name),
         None => {
@@ -100,11 +100,11 @@
 pub fn announce_overload(inst: &Rc<Instance>, up: &Upstream) {
     let server = up.entry().id.clone();
     for name in up.ranked_peers.borrow().iter().take(up.home_count.get()) {
-        let Some(peer) = inst.peer(name).filter(|it| it.is_usable(inst.now())) else { continue };
+        let Some(peer) = inst.peer(name).filter(|it| it.is_available(inst.now())) else { continue };
         let (inst, server) = (inst.clone(), server.clone());
         tokio::task::spawn_local(async move {
             if let Some(link) = peer.link(&inst).await {
-                link.tell(Message::Overloaded { server });
+                link.send(Message::Overloaded { server });
             }
         });
     }
@@ -136,12 +136,12 @@
     slow: Micros,
     until: Instant,
 ) -> Option<PermitOutcome> {
-    let peer = inst.peer(name).filter(|it| it.is_usable(inst.now()))?;
+    let peer = inst.peer(name).filter(|it| it.is_available(inst.now()))?;
     let link = peer.link(inst).await?;
     let wait_ms = until.saturating_duration_since(Instant::now()).as_millis() as u32;
     let rank = Rank { soft_deadline: rank.soft_deadline.saturating_sub(inst.now()), ..rank };
     let ask = Request::Permit(PermitRequest { server: up.entry().id.clone(), rank, slow, wait_ms });
-    let told = timeout_at(until + RELAY_DEADLINE_MARGIN, link.ask(ask)).await;
+    let told = timeout_at(until + RELAY_DEADLINE_MARGIN, link.request(ask)).await;
     let (turn, crowded) = match told {
         Ok(Response::Permit { permit: turn, overloaded: crowded }) => {
             (PermitOutcome::Granted(Permit::remote(link, turn)), crowded)
--- a/crates/engine/src/distribution.rs
+++ b/crates/engine/src/distribution.rs
@@ -72,7 +72,7 @@
         let Some(peers) = inst.peers() else { return true };
         let own = &inst.settings;
         let now = inst.now();
-        let is_eligible = |p: &&Rc<Peer>| p.zone == own.zone && !p.is_blind(now);
+        let is_eligible = |p: &&Rc<Peer>| p.zone == own.zone && !p.cannot_watch(now);
         let others = peers.iter().filter(is_eligible).map(|p| inst.candidate(p));
         let zone: Vec<Candidate<'_>> = others.chain([inst.own_candidate()]).collect();
         placement::pick("watch", &zone) == Some(&own.name)
@@ -150,7 +150,7 @@
         let watching = self.call_results.get() == (true, true);
         let from = inst.settings.name.clone();
         let members = members_digest(&inst.members()?);
-        let announces = self.is_watcher(inst) && inst.leaving().is_none();
+        let announces = self.is_watcher(inst) && inst.draining_since().is_none();
         announces.then_some(Heartbeat { from, version, config, directory, members, watching })
     }
 }
@@ -172,11 +172,11 @@
 }
 
 async fn send(inst: Rc<Instance>, peer: Rc<Peer>, heartbeat: Heartbeat) {
-    if !peer.is_usable(inst.now()) {
+    if !peer.is_available(inst.now()) {
         return;
     }
     if let Some(link) = peer.link(&inst).await {
-        link.tell_again(Message::Heartbeat(heartbeat));
+        link.send_with_keepalive(Message::Heartbeat(heartbeat));
     }
 }
 
@@ -184,12 +184,12 @@
 pub async fn on_heartbeat(inst: Rc<Instance>, heartbeat: Heartbeat) {
     let distribution = &inst.distribution;
     let now = inst.now();
-    inst.hear_era(heartbeat.config.max(heartbeat.directory));
+    inst.observe_era(heartbeat.config.max(heartbeat.directory));
     if heartbeat.watching {
         distribution.last_heartbeat.set(now);
     }
     let Some(peer) = inst.peer(&heartbeat.from) else { return };
-    peer.set_watching(heartbeat.watching, now);
+    peer.set_can_watch(heartbeat.watching, now);
     let is_local = peer.zone == inst.settings.zone;
     if is_local && heartbeat.watching {
         distribution.last_local_heartbeat.set(now);
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -116,7 +116,7 @@
         let request =
             Request::Fetch(FetchRequest { collection, from: inst.settings.name.clone(), since, next });
         let response =
-            timeout(CHUNK_TIMEOUT, peer.ask(inst, request)).await.map_err(|_| FetchError::Timeout)?;
+            timeout(CHUNK_TIMEOUT, peer.request(inst, request)).await.map_err(|_| FetchError::Timeout)?;
         let chunk = match response {
             Response::Chunk(chunk) => chunk,
             Response::Elsewhere(name) => return Ok(FetchOutcome::Redirect(name.and_then(|n| inst.peer(&n)))),
--- a/crates/engine/src/group/status_reports.rs
+++ b/crates/engine/src/group/status_reports.rs
@@ -59,7 +59,7 @@
     let servers = group.servers();
     let find = |it: &StatusQuery| {
         let up = servers.iter().find(|up| it.server == up.entry().as_ref().into())?;
-        inst.place(up);
+        inst.update_placement(up);
         up.is_reachable().then(|| (up.clone(), came.saturating_sub(it.max_age)))
     };
     let wants: Vec<PendingQuery> = wanted.iter().filter_map(find).collect();
@@ -89,7 +89,7 @@
 /// Learns from other instances what a server last said about itself, if it was asked for that at `since` or later. False
 /// where the server has to be asked.
 pub async fn fetch(inst: &Rc<Instance>, group: &Rc<Group>, it: &Rc<Upstream>, since: Micros) -> bool {
-    inst.place(it);
+    inst.update_placement(it);
     if it.is_reachable() {
         if group.primary().is_none() && group.is_used() {
             // Whoever leads may be known elsewhere, and not reached from here.
@@ -98,7 +98,7 @@
         return false;
     }
     // Whether it answers is found out by asking it: where that is in doubt, and where changes of primary are ordered.
-    if it.unanswered_since().is_some() || it.refused_since().is_some() || inst.token().is_some() {
+    if it.unanswered_since().is_some() || it.refused_since().is_some() || inst.fencing_token().is_some() {
         return false;
     }
     it.try_reconnect(inst, group);
@@ -121,7 +121,7 @@
     let answered = is_satisfied(&(it.clone(), asked));
     if answered
         || group.primary().is_some()
-        || inst.token().is_some()
+        || inst.fencing_token().is_some()
         || group.queries.seeking_primary.replace(true)
     {
         return;
@@ -192,7 +192,7 @@
     let mut asked: Vec<Name> = Vec::new();
     for n in 0..=MAX_RELAYS {
         // Who gives orders asks the servers themselves.
-        if inst.token().is_some() {
+        if inst.fencing_token().is_some() {
             break;
         }
         let missing: Vec<PendingQuery> = wants.iter().filter(|it| !is_satisfied(it)).cloned().collect();
@@ -277,7 +277,7 @@
     };
     let ask = Request::State { group: group.name.clone(), wanted: wants.iter().map(wanted).collect() };
     inst.counters.increment(Count::Inquiries);
-    let told = timeout(ORDER_TIMEOUT, peer.ask(&inst, ask)).await;
+    let told = timeout(ORDER_TIMEOUT, peer.request(&inst, ask)).await;
     let now = inst.now();
     let heard = matches!(told, Ok(Response::State(_)));
     if let Ok(Response::State(told)) = told {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -23,7 +23,7 @@
 //! | [`message`], [`link`], [`peer`] | messages between instances, links and peers |
 //! | [`relay`] | statements run on behalf of other instances |
 //! | [`session`], [`statement`], [`read`], [`write`](mod@write), [`txn`] | sessions of callers and their statements |
-//! | [`lease`], [`takeover`] | the lease for giving orders, and failover |
+//! | [`lease`], [`failover`] | the lease for giving orders, and failover |
 //! | [`leaders`] | the last known leader of each group |
 //! | [`progress`] | progress of a statement |
 //! | [`unreadable`] | undecodable objects in the store |
@@ -34,6 +34,7 @@
 pub mod count;
 pub mod dispatch;
 pub mod distribution;
+pub mod failover;
 pub mod fetch;
 pub mod group;
 pub mod instance;
@@ -56,7 +57,6 @@
 pub mod session;
 pub mod settings;
 pub mod statement;
-pub mod takeover;
 pub mod txn;
 pub mod unreadable;
 pub mod update;
--- a/crates/engine/src/permit_queue.rs
+++ b/crates/engine/src/permit_queue.rs
@@ -196,7 +196,7 @@
                 drop(turns);
                 of.grant_waiting(now);
             }
-            PermitSource::Remote { link, turn } => link.tell(Message::ReleasePermit { permit: *turn }),
+            PermitSource::Remote { link, turn } => link.send(Message::ReleasePermit { permit: *turn }),
         }
     }
 }
--- a/crates/engine/src/update.rs
+++ b/crates/engine/src/update.rs
@@ -178,7 +178,7 @@
                 if digest_of(&servers) != digest {
                     return Err(UpdateError::DigestMismatch);
                 }
-                inst.set_directory(servers, revision);
+                inst.apply_directory(servers, revision);
                 Ok(())
             }
             Update::Members(all) => {
@@ -271,7 +271,9 @@
     }
     let organisations = changed.map(Organisations::new);
     let (version, txn_idle, message_bytes) = (change.version, change.txn_idle, change.message_bytes);
-    inst.adopt(Config { version, routes, groups, organisations, txn_idle, message_bytes }, change.revision);
+    inst.apply_config(
+        Config { version, routes, groups, organisations, txn_idle, message_bytes }, change.revision,
+    );
     Ok(())
 }
 
--- a/crates/engine/src/watcher.rs
+++ b/crates/engine/src/watcher.rs
@@ -112,13 +112,13 @@
     let mut servers = if whole { Vec::new() } else { old.clone() };
     for object in objects.items {
         match object.record {
-            Some(Record::Config(config)) => inst.adopt(config, as_of),
+            Some(Record::Config(config)) => inst.apply_config(config, as_of),
             Some(Record::Server(server)) => {
                 inst.unreadable.borrow_mut().remove(collection, &object.name);
                 put(&mut servers, server);
             }
             Some(Record::Unreadable(why)) => {
-                inst.note_unreadable(collection, &object.name, &why);
+                inst.record_unreadable(collection, &object.name, &why);
                 // An unreadable object describes no server, even if it replaces an entry that did.
                 servers.retain(|old| old.id != object.name);
             }
@@ -133,7 +133,7 @@
         && !is_outdated
         && (servers != old || inst.revision(collection).is_none())
     {
-        inst.set_directory(servers, as_of);
+        inst.apply_directory(servers, as_of);
     }
 }
 
@@ -160,7 +160,7 @@
             }
             for server in group.servers().into_iter().filter(|s| s.pool.has_open()) {
                 // The share of this instance shrinks as other instances join.
-                inst.place(&server);
+                inst.update_placement(&server);
                 server.pool.trim(
                     Instant::now(),
                     server.entry().draining && group.servers().len() > 1 && !is_primary(&group, server.index),
