--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -165,7 +165,8 @@
         let deadline = unreplicated.since.max(self.since) + micros(STALL_TIMEOUT);
         let servers = self.group.servers();
         let mut replicas = servers.iter().filter(|s| Some(s.index) != primary);
-        replicas.all(|s| s.unanswered_since().is_some() || s.status().is_some_and(|status| status.0 >= deadline))
+        replicas
+            .all(|s| s.unanswered_since().is_some() || s.status().is_some_and(|status| status.0 >= deadline))
     }
 
     /// Returns the cause for a failover, if there is one.
--- a/crates/engine/src/read.rs
+++ b/crates/engine/src/read.rs
@@ -130,7 +130,8 @@
             };
             match self.finish_attempt(&group, attempt) {
                 Outcome::Done(answer, term) => {
-                    if !latest || group.wait_confirmed(&self.inst, term, self.arrived_at, self.deadline).await {
+                    if !latest || group.wait_confirmed(&self.inst, term, self.arrived_at, self.deadline).await
+                    {
                         drain(pending);
                         return answer;
                     }
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -186,7 +186,11 @@
             return Ok(ReadRequirement { mark: None, since: 0 });
         };
         let required = group
-            .required_position(&self.inst, age.saturating_sub(STALENESS_MARGIN), self.wait_deadline(Wait::Evidence))
+            .required_position(
+                &self.inst,
+                age.saturating_sub(STALENESS_MARGIN),
+                self.wait_deadline(Wait::Evidence),
+            )
             .await;
         let (since, mark) = required.ok_or_else(|| self.out_of_time(Wait::Evidence))?;
         let own = session.mark.filter(|_| matches!(self.route.policy, ReadPolicy::OwnWrites(_)));
@@ -233,7 +237,7 @@
         }
         let want = ConnRequest {
             priority: self.route.priority,
-            deadline: until: deadline,
+            deadline,
             values: Some(session.values.clone()),
             owner: Some(self.owner.clone()),
         };
--- a/crates/engine/src/update.rs
+++ b/crates/engine/src/update.rs
@@ -272,7 +272,8 @@
     let organisations = changed.map(Organisations::new);
     let (version, txn_idle, message_bytes) = (change.version, change.txn_idle, change.message_bytes);
     inst.apply_config(
-        Config { version, routes, groups, organisations, txn_idle, message_bytes }, change.revision,
+        Config { version, routes, groups, organisations, txn_idle, message_bytes },
+        change.revision,
     );
     Ok(())
 }
