--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -38,7 +38,7 @@
 }
 
 /// Sends an order to a server over a connection of this instance. A relay is used too if no answer comes within
-/// [`RELAY_AFTER`], and alone if this instance doesn't reach the server. Returns the server's status, or none if the
+/// [`RELAY_DELAY`], and alone if this instance doesn't reach the server. Returns the server's status, or none if the
 /// server doesn't answer.
 pub async fn send_order(inst: &Rc<Instance>, group: &Group, up: &Upstream, order: &Order) -> Option<Status> {
     inst.update_placement(up);
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -74,7 +74,7 @@
         self
     }
 
-    /// Runs the request on a channel. Requests a status from the server if no answer comes within [`PATIENCE`].
+    /// Runs the request on a channel. Requests a status from the server if no answer comes within [`LIVENESS_CHECK_DELAY`].
     pub async fn run(
         &self,
         inst: &Rc<Instance>,
