--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -44,7 +44,7 @@
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// Timeout for a status query or an order to a server, which may be queued behind long statements of up to 300 ms.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Maximum time that a status query waits for a connection. Statements time out earlier.
+/// Maximum time that a status query waits for a connection. Running statements finish earlier and free theirs.
 pub const STATUS_CONN_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time without new connections to a server after the server refused one because of its connection limit.
 pub const CONN_LIMIT_BACKOFF: Duration = Duration::from_millis(1_000);
