--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -174,11 +174,11 @@
 
     /// Checks that a caller may open a session on a database. Returns the hash of its key, or the refusal.
     fn authorise(&self, database: &Name, key: &CallerKey) -> Result<KeyHash, Answer> {
-        let Some(desired) = self.inst.desired() else {
+        let Some(config) = self.inst.desired() else {
             return Err(statement::busy("no configuration yet", TxnState::Idle));
         };
-        let version = desired.version;
-        let Some(route) = desired.route(database) else {
+        let version = config.version;
+        let Some(route) = config.route(database) else {
             if self.inst.may_log() {
                 log::info!(database = database.as_str(), version; "no such database");
             }
@@ -188,7 +188,7 @@
             return Err(untrusted());
         }
         let key = key.hash();
-        if desired.owner(&key, route).is_none() {
+        if config.owner(&key, route).is_none() {
             self.inst.counters.one(Count::Denied);
             if self.inst.may_log() {
                 log::info!(database = database.as_str(), version; "the caller's key is nobody's");
