--- a/crates/pondtrackd/src/hosted.rs
+++ b/crates/pondtrackd/src/hosted.rs
@@ -12,7 +12,7 @@
         quota, relay, report, session, settings, takeover, watcher,
     },
     pondtrack_platform::{
-        Boot, Lines, ObjectStore, Orders,
+        Boot, HttpPromoter, LineProtocol, ObjectStore,
         boot::{BootError, READY_PATH},
     },
     snafu::{ResultExt, Snafu},
@@ -108,9 +108,9 @@
     let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     let edge = Adapters {
-        protocol: Box::new(Lines),
-        store: Box::new(ObjectStore::new(boot.platform.addr)),
-        promoter: Box::new(Orders::new(boot.orders.addr)),
+        protocol: Box::new(LineProtocol),
+        store: Box::new(ObjectStore::new(boot.store.addr)),
+        promoter: Box::new(HttpPromoter::new(boot.promoter.addr)),
     };
     let own = settings::Settings {
         name: boot.name.clone(),
--- a/crates/pondtrackd/src/reload.rs
+++ b/crates/pondtrackd/src/reload.rs
@@ -6,7 +6,7 @@
 
 use {
     pondtrack_engine::{instance::Instance, settings::Bounds},
-    pondtrack_platform::{Boot, boot::PATH_VARIABLE},
+    pondtrack_platform::{Boot, boot::PATH_ENV},
     std::{env, fs, rc::Rc, time::Duration, time::SystemTime},
     tokio::{signal::unix::Signal, time::timeout},
 };
@@ -46,8 +46,8 @@
 
 fn take(inst: &Instance, old: &Boot, new: &Boot) {
     inst.bounds.set(bounds(new));
-    let later = (&old.name, &old.listen, &old.platform, &old.orders, &old.limits)
-        != (&new.name, &new.listen, &new.platform, &new.orders, &new.limits);
+    let later = (&old.name, &old.listen, &old.store, &old.promoter, &old.limits)
+        != (&new.name, &new.listen, &new.store, &new.promoter, &new.limits);
     log::info!(
         grace_ms = new.bounds.grace.as_millis() as u64,
         drain_ms = new.bounds.drain.as_millis() as u64,
@@ -60,6 +60,6 @@
 
 /// The file as it looks now; nothing when it can't be looked at, which reading it will explain.
 fn stamp() -> Stamp {
-    let it = fs::metadata(env::var(PATH_VARIABLE).ok()?).ok()?;
+    let it = fs::metadata(env::var(PATH_ENV).ok()?).ok()?;
     Some((it.len(), it.modified().ok()?))
 }
