--- a/crates/engine/src/group.rs
+++ b/crates/engine/src/group.rs
@@ -1,11 +1,12 @@
-//! A group's servers, and what is known about them.
+//! A group of servers and the evidence about their state.
 //!
-//! Here is what callers wait for: a server that holds a position, a confirmed term, a commit that a replica has. Which servers
-//! there are is in `group/discovery.rs`, what they show of themselves in `group/evidence.rs`.
+//! This module holds the conditions that callers wait for: a server that has reached a log position, a confirmed term, a
+//! commit that a replica has received. `group/discovery.rs` maintains the list of servers, `group/evidence.rs` evaluates
+//! their status responses, and `group/status_reports.rs` exchanges statuses with other instances.
 //!
-//! Evidence is what a server showed in the answer to a question, as of the question's sending. A replica
-//! that receives in a term confirms that the term's primary had not been replaced at that time: whoever
-//! replaces it first stops all other replicas from receiving (see [`crate::takeover`]).
+//! Evidence is the content of a server's status response, valid as of the time at which the request was sent. A replica that
+//! replicates in a term confirms that the term's primary had not been replaced at that time, because a failover first stops
+//! replication on all other replicas (see [`crate::takeover`]).
 
 use {
     self::status_reports::StatusQueries,
@@ -37,35 +38,35 @@
 mod evidence;
 pub mod status_reports;
 
-/// Replicas that have to confirm a term, or hold a commit.
+/// Number of replicas that have to confirm a term or to have received a commit.
 const REPLICAS: usize = 1;
 
 /// A group of servers.
 pub struct Group {
-    /// Its name.
+    /// Name of the group.
     pub name: Name,
-    /// Since when this instance knows it.
+    /// Time at which this instance learned of the group.
     known_since: Micros,
-    /// Woken when something about the group has changed.
+    /// Notified when the evidence or the list of servers has changed.
     pub changed: Notify,
     servers: RefCell<Vec<Rc<Upstream>>>,
     term: Cell<Term>,
     primary: Cell<Option<usize>>,
-    /// Who was last seen to lead, and in which term: its word doesn't count beside its own commits.
+    /// Term and index of the last known leader. Its own status doesn't count as a replica's confirmation of its commits.
     leader: Cell<Option<(Term, usize)>>,
     primary_lost_at: Cell<Option<Micros>>,
-    /// Whether the term's primary holds what its replicas have.
+    /// Comparison of the primary's log with the logs of its replicas.
     claim: Cell<PrimaryClaim>,
-    /// How often a server started again or lost its log.
+    /// Number of restarts and log losses of servers.
     evidence_resets: Cell<u64>,
     freshness: RefCell<Freshness>,
     gate: RefCell<CommitGate>,
-    /// Questions about it to other instances.
+    /// Status queries about this group to other instances.
     queries: StatusQueries,
 }
 
 impl Group {
-    /// A group of which no server is known.
+    /// Creates a group without servers.
     pub fn new(name: Name, now: Micros) -> Group {
         Group {
             name,
@@ -84,114 +85,118 @@
         }
     }
 
-    /// Its servers that have not left.
+    /// Servers that have not been removed.
     pub fn servers(&self) -> Vec<Rc<Upstream>> {
-        self.servers.borrow().iter().filter(|it| !it.is_removed()).cloned().collect()
+        self.servers.borrow().iter().filter(|s| !s.is_removed()).cloned().collect()
     }
 
-    /// Whether it has been known for so long that a server whose entry had lapsed before is listed again, if it lives. One
-    /// whose entry lapses later stays listed for as long.
+    /// Returns true if this instance has known the group for at least [`SERVER_EXPIRY`].
+    ///
+    /// A live server whose directory entry had expired before that is listed again by then, and a server whose entry expires
+    /// later stays listed for the same time.
     pub fn is_settled(&self, now: Micros) -> bool {
         now.saturating_sub(self.known_since) >= micros(SERVER_EXPIRY)
     }
 
-    /// The newest term that any server showed.
+    /// The highest term in the status of any server.
     pub fn term(&self) -> Term {
         self.term.get()
     }
 
-    /// Its primary, as far as it is known.
+    /// The primary of the current term, or `None` if it is not known.
     pub fn primary(&self) -> Option<Rc<Upstream>> {
-        let at = self.primary.get()?;
-        self.servers.borrow().get(at).filter(|it| !it.is_removed()).cloned()
+        let index = self.primary.get()?;
+        self.servers.borrow().get(index).filter(|s| !s.is_removed()).cloned()
     }
 
-    /// Who was last seen to lead, and in which term.
+    /// The last known leader and its term.
     pub fn leader(&self) -> Option<LeaderRecord> {
-        let (term, at) = self.leader.get()?;
-        let server = self.servers.borrow()[at].entry().id.clone();
+        let (term, index) = self.leader.get()?;
+        let server = self.servers.borrow()[index].entry().id.clone();
         Some(LeaderRecord { term, server: Some(server) })
     }
 
-    /// Since when no primary is known.
+    /// Time since which no primary has been known.
     pub fn primary_lost_at(&self) -> Option<Micros> {
         self.primary_lost_at.get()
     }
 
-    /// Whether the account of any of its servers was ever wanted here.
+    /// Returns true if this instance has ever requested the status of any of the group's servers.
     pub fn is_used(&self) -> bool {
-        self.servers.borrow().iter().any(|it| it.in_use.get())
+        self.servers.borrow().iter().any(|s| s.in_use.get())
     }
 
-    /// Whether it is in use and has no primary that answers here.
+    /// Returns true if the group is in use and has no primary that answers this instance.
     pub fn lacks_primary(&self) -> bool {
-        self.is_used() && self.primary().is_none_or(|it| it.unanswered_since().is_some())
+        self.is_used() && self.primary().is_none_or(|p| p.unanswered_since().is_some())
     }
 
-    /// Asks every server for its account of itself that wasn't asked at `since` or later.
+    /// Requests the status of every server to which no request was sent at `since` or later.
     pub fn request_statuses(&self, since: Micros) {
-        for it in self.servers() {
-            it.request_status_since(since);
+        for server in self.servers() {
+            server.request_status_since(since);
         }
     }
 
-    /// Asks the replica that is likely to answer first, unless it owes an answer to a question since then.
+    /// Requests the status of the replica that is likely to answer first, unless a request was sent to it at `since` or later.
     fn request_replica_status(&self, inst: &Instance, since: Micros) {
         let now = inst.now();
         let servers = self.servers();
-        let replicas = servers.iter().filter(|it| self.primary.get() != Some(it.index) || servers.len() == 1);
-        let quiet = |it: &Upstream| {
-            let paused = it.status.get().is_some_and(|it| it.1.paused.is_some());
-            it.unanswered_since.get().is_some() || paused || !self.counts_for_quorum(it, self.term.get())
+        let replicas = servers.iter().filter(|s| self.primary.get() != Some(s.index) || servers.len() == 1);
+        let unusable = |s: &Upstream| {
+            let paused = s.status.get().is_some_and(|known| known.1.paused.is_some());
+            s.unanswered_since.get().is_some() || paused || !self.counts_for_quorum(s, self.term.get())
         };
         let best = replicas
-            .min_by_key(|it| (quiet(it), it.avoid_until.get() > now, self.server_load(inst, it, now).cost()));
-        if let Some(it) = best {
-            it.request_status_since(since);
+            .min_by_key(|s| (unusable(s), s.avoid_until.get() > now, self.server_load(inst, s, now).cost()));
+        if let Some(server) = best {
+            server.request_status_since(since);
         }
     }
 
-    fn server_load(&self, inst: &Instance, it: &Upstream, now: Micros) -> Offer {
+    fn server_load(&self, inst: &Instance, server: &Upstream, now: Micros) -> Offer {
         Offer {
-            expected: it.latency.get().expected(now),
-            load: it.permits.in_flight(),
-            far: it.entry().zone != inst.settings.zone,
-            primary: self.primary.get() == Some(it.index),
+            expected: server.latency.get().expected(now),
+            load: server.permits.in_flight(),
+            far: server.entry().zone != inst.settings.zone,
+            primary: self.primary.get() == Some(server.index),
         }
     }
 
-    /// Chooses a server for a read whose position was reached by the primary at `since`.
+    /// Selects a server for a read whose position the primary reached at `since`.
     ///
-    /// Replicas that are unlikely to hold the position are left out, and servers in `tried` come last.
+    /// Replicas that are unlikely to have replayed the position are excluded. Draining servers come last, and among the
+    /// others those in `tried`, ordered by the number of their attempts.
     pub fn select_server(&self, inst: &Instance, since: Micros, tried: &[usize]) -> Option<Rc<Upstream>> {
         let now = inst.now();
         let age = now.saturating_sub(since) as f64;
-        let caught_up = |it: &Upstream| {
-            self.primary.get() == Some(it.index) || age >= it.lag.get().get(now) as f64 * LAG_FACTOR
+        let caught_up = |s: &Upstream| {
+            self.primary.get() == Some(s.index) || age >= s.lag.get().get(now) as f64 * LAG_FACTOR
         };
         let servers = self.servers();
-        let usable = |it: &&Rc<Upstream>| {
-            caught_up(it) && it.unanswered_since.get().is_none() && it.accepts_work(inst)
-        };
+        let usable =
+            |s: &&Rc<Upstream>| caught_up(s) && s.unanswered_since.get().is_none() && s.accepts_work(inst);
         servers
             .iter()
             .filter(usable)
-            .min_by_key(|it| {
-                let again = tried.iter().filter(|n| **n == it.index).count();
-                let rest =
-                    (it.avoid_until.get() > now, !it.pool.is_available() || !it.permits.has_free_permit());
-                (it.entry().draining, again, rest, self.server_load(inst, it, now).cost())
+            .min_by_key(|s| {
+                let attempts = tried.iter().filter(|n| **n == s.index).count();
+                let busy =
+                    (s.avoid_until.get() > now, !s.pool.is_available() || !s.permits.has_free_permit());
+                (s.entry().draining, attempts, busy, self.server_load(inst, s, now).cost())
             })
             .cloned()
     }
 
-    /// The position that holds everything acknowledged longer ago than `age`, and since when it is known
-    /// to. Evidence is renewed if it is getting old; none if that fails before the end.
+    /// Returns a log position that includes every commit acknowledged longer ago than `age`, and the time as of which that
+    /// is known.
+    ///
+    /// Requests new evidence if the present evidence is getting old. Returns `None` if there is none at `deadline`.
     pub async fn required_position(
         &self,
         inst: &Instance,
         age: Duration,
-        end: Instant,
+        deadline: Instant,
     ) -> Option<(Micros, LogPosition)> {
         let age = micros(age);
         loop {
@@ -206,35 +211,43 @@
             if needed.is_some() {
                 return needed;
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return None;
             }
-            // What is not answered is asked again by `renew`.
-            let _ = timeout_at(end.min(Instant::now() + STATUS_HEDGE_DELAY), changed).await;
+            // `refresh_evidence` repeats a request that has no answer.
+            let _ = timeout_at(deadline.min(Instant::now() + STATUS_HEDGE_DELAY), changed).await;
         }
     }
 
-    /// Has evidence that is getting too old for `age`, or is not `enough`, renewed.
-    fn refresh_evidence(&self, inst: &Instance, now: Micros, age: Micros, enough: bool) {
+    /// Requests new evidence if the present evidence is getting too old for `age` or is not `sufficient`.
+    fn refresh_evidence(&self, inst: &Instance, now: Micros, age: Micros, sufficient: bool) {
         let limit = now.saturating_sub(age * EVIDENCE_REFRESH_PERCENT / 100);
         let (observed, confirmed) = {
-            let it = self.freshness.borrow();
-            (it.observed_at().unwrap_or_default(), it.confirmed_at().unwrap_or_default())
+            let freshness = self.freshness.borrow();
+            (freshness.observed_at().unwrap_or_default(), freshness.confirmed_at().unwrap_or_default())
         };
         match self.primary() {
-            Some(it) if observed < limit || observed == 0 => it.request_status_since(limit),
+            Some(primary) if observed < limit || observed == 0 => primary.request_status_since(limit),
             Some(_) => {}
             None => self.request_statuses(now.saturating_sub(micros(PRIMARY_POLL_INTERVAL))),
         }
-        // A confirmation counts for what was observed before it.
-        if confirmed < limit || (!enough && confirmed <= observed) {
+        // A confirmation only covers positions that were observed before it.
+        if confirmed < limit || (!sufficient && confirmed <= observed) {
             self.request_replica_status(inst, observed.max(limit));
         }
     }
 
     /// Waits until a replica confirms that the primary of `term` had not been replaced at `since`.
-    pub async fn wait_confirmed(&self, inst: &Instance, term: Term, since: Micros, end: Instant) -> bool {
-        let mut patience = STATUS_HEDGE_DELAY;
+    ///
+    /// Returns false if the group's term is another one, or at `deadline`.
+    pub async fn wait_confirmed(
+        &self,
+        inst: &Instance,
+        term: Term,
+        since: Micros,
+        deadline: Instant,
+    ) -> bool {
+        let mut delay = STATUS_HEDGE_DELAY;
         self.request_replica_status(inst, since);
         loop {
             let changed = self.changed.notified();
@@ -244,57 +257,59 @@
             if self.is_claim_valid() && self.freshness.borrow().confirmed_at().is_some_and(|at| at >= since) {
                 return true;
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return false;
             }
-            if timeout(patience, changed).await.is_err() {
-                self.request_statuses(inst.now().saturating_sub(micros(patience)).max(since));
-                patience = (patience * 2).min(ORDER_TIMEOUT);
+            if timeout(delay, changed).await.is_err() {
+                self.request_statuses(inst.now().saturating_sub(micros(delay)).max(since));
+                delay = (delay * 2).min(ORDER_TIMEOUT);
             }
         }
     }
 
-    /// Waits until a replica has received a commit of `term`. False when the term is over, or at the end.
-    pub async fn wait_replicated(&self, inst: &Instance, term: Term, at: Lsn, end: Instant) -> bool {
-        let began = Instant::now();
-        let mut pause = MIN_REPLICATION_POLL;
-        let mut sent = inst.now();
+    /// Waits until a replica has received the commit at `lsn` of `term`.
+    ///
+    /// Returns false if a later term has begun, or at `deadline`.
+    pub async fn wait_replicated(&self, inst: &Instance, term: Term, lsn: Lsn, deadline: Instant) -> bool {
+        let started = Instant::now();
+        let mut interval = MIN_REPLICATION_POLL;
+        let mut since = inst.now();
         loop {
-            match began.elapsed() < STATUS_HEDGE_DELAY {
-                true => self.request_replica_status(inst, sent),
-                false => self.request_statuses(sent),
+            match started.elapsed() < STATUS_HEDGE_DELAY {
+                true => self.request_replica_status(inst, since),
+                false => self.request_statuses(since),
             }
-            let answered = timeout(STATUS_HEDGE_DELAY, self.changed.notified()).await.is_ok();
-            let (known, durable) = {
-                let it = self.gate.borrow();
-                (it.term(), it.commit_lsn())
+            let changed = timeout(STATUS_HEDGE_DELAY, self.changed.notified()).await.is_ok();
+            let (current, committed) = {
+                let gate = self.gate.borrow();
+                (gate.term(), gate.commit_lsn())
             };
-            match known == term && durable >= at {
+            match current == term && committed >= lsn {
                 true if self.is_claim_valid() => return true,
-                _ if known > term || Instant::now() >= end => return false,
-                _ if answered => sleep(pause).await,
+                _ if current > term || Instant::now() >= deadline => return false,
+                _ if changed => sleep(interval).await,
                 _ => {}
             }
-            sent = inst.now().saturating_sub(micros(pause));
-            pause = (pause * 2).min(MAX_REPLICATION_POLL);
+            since = inst.now().saturating_sub(micros(interval));
+            interval = (interval * 2).min(MAX_REPLICATION_POLL);
         }
     }
 
-    /// Waits for a primary that answers.
-    pub async fn wait_primary(&self, inst: &Instance, end: Instant) -> Option<Rc<Upstream>> {
+    /// Waits for a primary that answers and accepts work. Returns `None` at `deadline`.
+    pub async fn wait_primary(&self, inst: &Instance, deadline: Instant) -> Option<Rc<Upstream>> {
         if self.primary().is_none() {
             self.request_statuses(inst.now().saturating_sub(micros(PRIMARY_POLL_INTERVAL)));
         }
         loop {
             let changed = self.changed.notified();
-            let usable = |it: &Rc<Upstream>| it.unanswered_since().is_none() && it.accepts_work(inst);
-            if let Some(it) = self.primary().filter(usable) {
-                return Some(it);
+            let usable = |s: &Rc<Upstream>| s.unanswered_since().is_none() && s.accepts_work(inst);
+            if let Some(primary) = self.primary().filter(usable) {
+                return Some(primary);
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return None;
             }
-            if timeout_at(end.min(Instant::now() + PRIMARY_POLL_INTERVAL), changed).await.is_err() {
+            if timeout_at(deadline.min(Instant::now() + PRIMARY_POLL_INTERVAL), changed).await.is_err() {
                 self.request_statuses(inst.now().saturating_sub(micros(PRIMARY_POLL_INTERVAL)));
             }
         }
--- a/crates/engine/src/group/discovery.rs
+++ b/crates/engine/src/group/discovery.rs
@@ -1,4 +1,4 @@
-//! Which servers a group has, as the directory lists them.
+//! Maintenance of a group's list of servers from the directory.
 
 use {
     super::Group,
@@ -17,34 +17,37 @@
 };
 
 impl Group {
-    /// Takes a server's entry in; a new server, and a new run of a known one, gets a task that asks it.
+    /// Adds or updates a server's directory entry.
+    ///
+    /// Starts a polling task for a new server and for a new process of a known one.
     pub fn upsert_server(self: &Rc<Self>, inst: &Rc<Instance>, server: Server) {
-        let Some(it) = self.find_server(&server.id) else { return self.add_server(inst, server, None) };
-        if it.entry().incarnation != server.incarnation {
-            return self.replace_process(inst, &it, server);
+        let Some(up) = self.find_server(&server.id) else { return self.add_server(inst, server, None) };
+        if up.entry().incarnation != server.incarnation {
+            return self.replace_process(inst, &up, server);
         }
-        let hint = server.role == Some(Role::Primary) && it.entry().role != server.role;
-        it.missing_since.set(None);
-        if it.removed.replace(false) {
-            // Its task has ended.
-            tokio::task::spawn_local(poll_status(inst.clone(), self.clone(), it.clone()));
+        let promoted = server.role == Some(Role::Primary) && up.entry().role != server.role;
+        up.missing_since.set(None);
+        if up.removed.replace(false) {
+            // The polling task ended when the server was removed.
+            tokio::task::spawn_local(poll_status(inst.clone(), self.clone(), up.clone()));
         }
-        it.draining_since.set(server.draining.then(|| it.draining_since.get().unwrap_or(inst.now())));
-        *it.entry.borrow_mut() = Rc::new(server);
-        if hint && self.is_used() {
-            it.request_status();
+        up.draining_since.set(server.draining.then(|| up.draining_since.get().unwrap_or(inst.now())));
+        *up.entry.borrow_mut() = Rc::new(server);
+        if promoted && self.is_used() {
+            up.request_status();
         }
         self.changed.notify_waiters();
     }
 
-    /// The present run of a server, as far as it is known here.
+    /// The latest known process of a server.
     pub(super) fn find_server(&self, id: &Name) -> Option<Rc<Upstream>> {
         let servers = self.servers.borrow();
-        servers.iter().find(|it| !it.superseded.get() && it.entry().id == *id).cloned()
+        servers.iter().find(|s| !s.superseded.get() && s.entry().id == *id).cloned()
     }
 
-    /// A server has started again. Nothing of what its earlier run showed counts, nor will it if an entry of that run
-    /// comes once more.
+    /// Replaces a server's process by a later one.
+    ///
+    /// Discards the evidence from the earlier process, also if its directory entry is received again.
     pub(super) fn replace_process(self: &Rc<Self>, inst: &Rc<Instance>, old: &Rc<Upstream>, server: Server) {
         let now = inst.now();
         let (id, run, before) = (server.id.as_str(), server.incarnation, old.entry().incarnation);
@@ -54,38 +57,38 @@
         old.removed.set(true);
         old.pool.trim(Instant::now(), true);
         self.reset_evidence(old, now);
-        // Its task ends.
+        // Wakes the polling task, which then ends.
         old.request_status();
         self.add_server(inst, server, Some(Recovery::new(now, micros(MAX_FAILOVER_TIME))));
         self.changed.notify_waiters();
     }
 
-    /// A server's entry was removed; it counts as gone if it stays away.
+    /// Records that a server's directory entry was removed. The server itself is removed if the entry stays missing.
     pub fn mark_missing(&self, id: &Name, now: Micros) {
-        if let Some(it) = self.find_server(id) {
-            it.missing_since.set(it.missing_since.get().or(Some(now)));
-            // Whether it still answers shows whether it has left.
+        if let Some(server) = self.find_server(id) {
+            server.missing_since.set(server.missing_since.get().or(Some(now)));
+            // A draining server that no longer answers has left.
             if self.is_used() {
-                it.request_status();
+                server.request_status();
             }
         }
     }
 
-    /// Servers whose entries have been missing since before `limit` are gone, and those that had said that they
-    /// leave and don't answer any longer. Hands their ids back.
+    /// Removes the servers whose entries have been missing since before `limit`, and draining servers with a missing entry
+    /// that no longer answer. Returns their ids.
     pub fn remove_expired(&self, limit: Micros) -> Vec<Name> {
-        let mut gone = Vec::new();
-        for it in self.servers().iter().filter(|it| it.is_expired(limit)) {
-            it.removed.set(true);
-            it.pool.trim(Instant::now(), true);
-            if self.primary.get() == Some(it.index) {
+        let mut removed = Vec::new();
+        for server in self.servers().iter().filter(|s| s.is_expired(limit)) {
+            server.removed.set(true);
+            server.pool.trim(Instant::now(), true);
+            if self.primary.get() == Some(server.index) {
                 self.clear_primary(limit);
             }
-            // Its task ends.
-            it.request_status();
-            gone.push(it.entry().id.clone());
+            // Wakes the polling task, which then ends.
+            server.request_status();
+            removed.push(server.entry().id.clone());
         }
-        gone
+        removed
     }
 
     pub(super) fn add_server(
@@ -95,32 +98,34 @@
         recovery: Option<Recovery>,
     ) {
         let index = self.servers.borrow().len();
-        let it = Rc::new(Upstream::new(index, server, inst.clock));
+        let up = Rc::new(Upstream::new(index, server, inst.clock));
         if recovery.is_some() {
-            it.recovery.set(recovery);
-            it.log_lost_at.set(inst.now());
+            up.recovery.set(recovery);
+            up.log_lost_at.set(inst.now());
         }
-        self.servers.borrow_mut().push(it.clone());
+        self.servers.borrow_mut().push(up.clone());
         self.freshness.borrow_mut().grow(index + 1);
         self.gate.borrow_mut().grow(index + 1);
-        self.request_initial_status(inst, &it);
-        tokio::task::spawn_local(poll_status(inst.clone(), self.clone(), it));
+        self.request_initial_status(inst, &up);
+        tokio::task::spawn_local(poll_status(inst.clone(), self.clone(), up));
     }
 
-    /// Asks a server that is new here, if this instance is one of its homes. Others ask once they have callers for
-    /// it: each of hundreds of instances asking each of hundreds of servers would be too much at a start.
-    pub(super) fn request_initial_status(&self, inst: &Instance, it: &Upstream) {
-        inst.place(it);
-        let home = inst.peers().is_some() && inst.is_configured(&self.name) && it.is_reachable();
+    /// Requests the status of a new server if this instance is one of its homes.
+    ///
+    /// Other instances request the status once they have callers for the group: at a start, requests from each of hundreds
+    /// of instances to each of hundreds of servers would be too many.
+    pub(super) fn request_initial_status(&self, inst: &Instance, up: &Upstream) {
+        inst.place(up);
+        let home = inst.peers().is_some() && inst.is_configured(&self.name) && up.is_reachable();
         if home || self.is_used() {
-            it.request_status();
+            up.request_status();
         }
     }
 
-    /// The same for all its servers, once it is known which other instances there are.
+    /// Calls [`Group::request_initial_status`] for all servers, once the other instances are known.
     pub fn request_initial_statuses(&self, inst: &Instance) {
-        for it in self.servers() {
-            self.request_initial_status(inst, &it);
+        for up in self.servers() {
+            self.request_initial_status(inst, &up);
         }
     }
 }
--- a/crates/engine/src/group/status_reports.rs
+++ b/crates/engine/src/group/status_reports.rs
@@ -1,8 +1,8 @@
-//! What instances tell each other of a group's servers.
+//! Exchange of server statuses between instances.
 //!
-//! An instance that has no connections to a server, or doesn't reach it, asks one that does for what it knows of the whole
-//! group. How long ago a server was asked is counted back from the moment at which this instance sent its own question, which
-//! came before the other one looked at its clock: an account is never taken for younger than it is.
+//! An instance that has no connections to a server, or can't reach it, queries an instance that can for the statuses of the
+//! whole group. The age in a status report is subtracted from the time at which this instance sent its query. The other
+//! instance read its clock after that time, so a status is never taken to be younger than it is.
 
 use {
     super::Group,
@@ -30,95 +30,107 @@
     },
 };
 
-/// After this long without an answer a second instance is asked what it knows: two crossings of zones, both ways.
+/// Delay after which an unanswered query is also sent to a second instance: two cross-zone round trips.
 const PEER_HEDGE_DELAY: Duration = Duration::from_millis(10);
-/// Instances that are asked at once for a primary: one of them may be cut off.
+/// Number of instances that are queried for a primary in parallel, because one of them may be cut off.
 const PRIMARY_QUERY_PEERS: usize = 2;
 
-/// A server whose account is wanted, and since when it has to have been asked for.
+/// A server whose status is wanted, and the earliest time at which the status may have been requested from the server.
 type PendingQuery = (Rc<Upstream>, Micros);
 
-/// Questions about a group to other instances: those that come together, or while one is out, go together.
+/// Queries about a group to other instances. Queries that arrive together, or while a round is in progress, are batched into
+/// the next round.
 #[derive(Default)]
 pub(super) struct StatusQueries {
     pending: RefCell<Vec<PendingQuery>>,
+    /// True while a task runs rounds.
     running: Cell<bool>,
+    /// Number of rounds started.
     started: Cell<u64>,
+    /// Number of the last finished round.
     finished: Cell<u64>,
-    /// Whether others are being asked for a primary that this instance should find itself.
+    /// True while other instances are queried for a primary that this instance should be able to reach itself.
     seeking_primary: Cell<bool>,
-    /// Woken when a question or a round has ended.
+    /// Notified when a query or a round has finished.
     progress: Notify,
 }
 
-/// What is known here of a group's servers. Those that are `wanted` and reached from here are asked anew first, where what is
-/// known is older; all who ask at the same time share these questions.
+/// Returns the known statuses of a group's servers, after refreshing the `wanted` ones.
+///
+/// Requests a new status from each `wanted` server that this instance can reach and whose known status is older than wanted.
+/// Concurrent calls share these requests.
 pub async fn collect(inst: &Rc<Instance>, group: &str, wanted: &[StatusQuery]) -> Vec<StatusReport> {
-    let came = inst.now();
+    let received_at = inst.now();
     let Some(group) = inst.group(group) else { return Vec::new() };
     let servers = group.servers();
-    let find = |it: &StatusQuery| {
-        let up = servers.iter().find(|up| it.server == up.entry().as_ref().into())?;
+    let find = |query: &StatusQuery| {
+        let up = servers.iter().find(|up| query.server == up.entry().as_ref().into())?;
         inst.place(up);
-        up.is_reachable().then(|| (up.clone(), came.saturating_sub(it.age)))
+        up.is_reachable().then(|| (up.clone(), received_at.saturating_sub(query.age)))
     };
-    let wants: Vec<PendingQuery> = wanted.iter().filter_map(find).collect();
-    for (up, since) in wants.iter().filter(|it| !is_satisfied(it)) {
+    let pending: Vec<PendingQuery> = wanted.iter().filter_map(find).collect();
+    for (up, since) in pending.iter().filter(|q| !is_satisfied(q)) {
         up.request_status_since(*since);
     }
-    let end = Instant::now() + STATUS_CONN_TIMEOUT;
+    let deadline = Instant::now() + STATUS_CONN_TIMEOUT;
     loop {
         let changed = group.changed.notified();
-        let settled = |it: &PendingQuery| {
-            is_satisfied(it)
-                || it.0.refused_since().is_some()
-                || it.0.unanswered_since().is_some()
-                || !it.0.is_reachable()
+        let settled = |q: &PendingQuery| {
+            is_satisfied(q)
+                || q.0.refused_since().is_some()
+                || q.0.unanswered_since().is_some()
+                || !q.0.is_reachable()
         };
-        if wants.iter().all(settled) || timeout_at(end, changed).await.is_err() {
+        if pending.iter().all(settled) || timeout_at(deadline, changed).await.is_err() {
             break;
         }
     }
-    let sighting = |up: &Rc<Upstream>| {
-        let (sent, status) = up.status()?;
-        Some(StatusReport { server: up.entry().as_ref().into(), status, age: freshness::age(came, sent) })
+    let report = |up: &Rc<Upstream>| {
+        let (asked_at, status) = up.status()?;
+        Some(StatusReport {
+            server: up.entry().as_ref().into(),
+            status,
+            age: freshness::age(received_at, asked_at),
+        })
     };
-    servers.iter().filter_map(sighting).collect()
+    servers.iter().filter_map(report).collect()
 }
 
-/// Learns from other instances what a server last said about itself, if it was asked for that at `since` or later. False
-/// where the server has to be asked.
-pub async fn fetch(inst: &Rc<Instance>, group: &Rc<Group>, it: &Rc<Upstream>, since: Micros) -> bool {
-    inst.place(it);
-    if it.is_reachable() {
+/// Fetches a server's status, requested from the server at `since` or later, from other instances.
+///
+/// Returns false if this instance has to request the status from the server itself.
+pub async fn fetch(inst: &Rc<Instance>, group: &Rc<Group>, up: &Rc<Upstream>, since: Micros) -> bool {
+    inst.place(up);
+    if up.is_reachable() {
         if group.primary().is_none() && group.is_used() {
-            // Whoever leads may be known elsewhere, and not reached from here.
-            spawn_local(query_for_primary(inst.clone(), group.clone(), it.clone(), inst.now()));
+            // Other instances may know a primary that this instance can't reach.
+            spawn_local(query_for_primary(inst.clone(), group.clone(), up.clone(), inst.now()));
         }
         return false;
     }
-    // Whether it answers is found out by asking it: where that is in doubt, and where changes of primary are ordered.
-    if it.unanswered_since().is_some() || it.refused_since().is_some() || inst.token().is_some() {
+    // Only a direct request shows whether the server answers. It is needed if that is in doubt, and on the instance that
+    // orders failovers.
+    if up.unanswered_since().is_some() || up.refused_since().is_some() || inst.token().is_some() {
         return false;
     }
-    it.try_reconnect(inst, group);
+    up.try_reconnect(inst, group);
     let since = since.min(inst.now());
-    let round = group.enqueue_query(inst, it, since);
-    let inquiry = &group.queries;
+    let round = group.enqueue_query(inst, up, since);
+    let queries = &group.queries;
     loop {
-        let news = inquiry.progress.notified();
-        let met = is_satisfied(&(it.clone(), since));
-        if met || inquiry.finished.get() >= round {
-            return met;
+        let progress = queries.progress.notified();
+        let satisfied = is_satisfied(&(up.clone(), since));
+        if satisfied || queries.finished.get() >= round {
+            return satisfied;
         }
-        news.await;
+        progress.await;
     }
 }
 
-/// Asks other instances what they know, where a server that this one should reach owes an answer and none is known to lead.
-async fn query_for_primary(inst: Rc<Instance>, group: Rc<Group>, it: Rc<Upstream>, asked: Micros) {
+/// Queries other instances if a server that this instance should reach has not answered yet and no primary is known.
+async fn query_for_primary(inst: Rc<Instance>, group: Rc<Group>, up: Rc<Upstream>, asked_at: Micros) {
     sleep(PEER_HEDGE_DELAY).await;
-    let answered = is_satisfied(&(it.clone(), asked));
+    let answered = is_satisfied(&(up.clone(), asked_at));
     if answered
         || group.primary().is_some()
         || inst.token().is_some()
@@ -129,103 +141,109 @@
     let mut peers: Vec<Rc<Peer>> = Vec::new();
     let mut names: Vec<Name> = Vec::new();
     while let Some(peer) =
-        it.pick_peer_except(&inst, &Owner::Shared, &names).filter(|_| names.len() < PRIMARY_QUERY_PEERS)
+        up.pick_peer_except(&inst, &Owner::Shared, &names).filter(|_| names.len() < PRIMARY_QUERY_PEERS)
     {
         names.push(peer.name.clone());
         peers.push(peer);
     }
-    let ask = |peer| query_peer(inst.clone(), group.clone(), peer, (it.clone(), 0), Vec::new());
-    join_all(peers.into_iter().map(ask)).await;
+    let query = |peer| query_peer(inst.clone(), group.clone(), peer, (up.clone(), 0), Vec::new());
+    join_all(peers.into_iter().map(query)).await;
     group.queries.seeking_primary.set(false);
 }
 
-/// Whether a server's account is known as it is wanted.
-fn is_satisfied(it: &PendingQuery) -> bool {
-    it.0.status().is_some_and(|known| known.0 >= it.1)
+/// Returns true if the known status of the server is as recent as wanted.
+fn is_satisfied(query: &PendingQuery) -> bool {
+    query.0.status().is_some_and(|known| known.0 >= query.1)
 }
 
 impl Group {
-    /// Takes in what another instance knows, which was asked at `sent`.
-    pub fn apply_reports(&self, told: &[StatusReport], sent: Micros, now: Micros) {
-        for it in told {
-            let Some(asked) = freshness::asked_at(sent, it.age) else { continue };
-            let known = self.find_server(&it.server.id).filter(|up| !up.is_removed());
-            if let Some(up) = known.filter(|up| up.entry().incarnation == it.server.incarnation) {
-                self.observe_relayed_status(&up, it.status, asked, now);
+    /// Applies the reports in another instance's response to a query sent at `sent`.
+    pub fn apply_reports(&self, reports: &[StatusReport], sent: Micros, now: Micros) {
+        for report in reports {
+            let Some(asked_at) = freshness::asked_at(sent, report.age) else { continue };
+            let known = self.find_server(&report.server.id).filter(|up| !up.is_removed());
+            if let Some(up) = known.filter(|up| up.entry().incarnation == report.server.incarnation) {
+                self.observe_relayed_status(&up, report.status, asked_at, now);
             }
         }
     }
 
-    /// Has other instances asked about a server; hands back the number of the round that does it.
-    fn enqueue_query(self: &Rc<Self>, inst: &Rc<Instance>, it: &Rc<Upstream>, since: Micros) -> u64 {
-        let inquiry = &self.queries;
-        inquiry.pending.borrow_mut().push((it.clone(), since));
-        if !inquiry.running.replace(true) {
+    /// Adds a query about a server to the next round and returns the number of that round.
+    fn enqueue_query(self: &Rc<Self>, inst: &Rc<Instance>, up: &Rc<Upstream>, since: Micros) -> u64 {
+        let queries = &self.queries;
+        queries.pending.borrow_mut().push((up.clone(), since));
+        if !queries.running.replace(true) {
             spawn_local(run_queries(inst.clone(), self.clone()));
         }
-        inquiry.started.get() + 1
+        queries.started.get() + 1
     }
 }
 
-/// Puts what is wanted, until nothing is.
+/// Runs rounds of queries until none is pending.
 async fn run_queries(inst: Rc<Instance>, group: Rc<Group>) {
-    let inquiry = &group.queries;
+    let queries = &group.queries;
     loop {
-        // Whoever wants something at the same moment is heard first.
+        // Lets tasks that are ready now add their queries to this round.
         yield_now().await;
-        let wants = inquiry.pending.take();
-        if wants.is_empty() {
-            inquiry.running.set(false);
+        let pending = queries.pending.take();
+        if pending.is_empty() {
+            queries.running.set(false);
             return;
         }
-        inquiry.started.set(inquiry.started.get() + 1);
-        // Beyond that time the servers are asked.
-        timeout(RELAY_DELAY, run_round(&inst, &group, &wants)).await.ok();
-        inquiry.finished.set(inquiry.started.get());
-        inquiry.progress.notify_waiters();
+        queries.started.set(queries.started.get() + 1);
+        // After the timeout, the callers of `fetch` request the status from the servers.
+        timeout(RELAY_DELAY, run_round(&inst, &group, &pending)).await.ok();
+        queries.finished.set(queries.started.get());
+        queries.progress.notify_waiters();
     }
 }
 
-/// Asks one instance after the other until what is wanted is known, or nobody is left to be asked.
-async fn run_round(inst: &Rc<Instance>, group: &Rc<Group>, wants: &[PendingQuery]) {
-    let open = Rc::new(Cell::new(0));
+/// Queries one instance after the other until all queries are satisfied or no instance is left.
+async fn run_round(inst: &Rc<Instance>, group: &Rc<Group>, pending: &[PendingQuery]) {
+    let in_flight = Rc::new(Cell::new(0));
     let mut asked: Vec<Name> = Vec::new();
     for n in 0..=MAX_RELAYS {
-        // Who gives orders asks the servers themselves.
+        // The instance that orders failovers requests the status from the servers itself.
         if inst.token().is_some() {
             break;
         }
-        let missing: Vec<PendingQuery> = wants.iter().filter(|it| !is_satisfied(it)).cloned().collect();
-        // The second one tells what it knows: it asks no server that the first one is asking.
-        let knows = n == 1 && open.get() > 0;
-        let next = pick_targets(inst, group, missing, &asked);
-        if next.is_empty() {
+        let missing: Vec<PendingQuery> = pending.iter().filter(|q| !is_satisfied(q)).cloned().collect();
+        // While the first query is in flight, the second instance only reports the statuses it has: it must not poll the
+        // servers that the first instance is polling.
+        let known_only = n == 1 && in_flight.get() > 0;
+        let targets = pick_targets(inst, group, missing, &asked);
+        if targets.is_empty() {
             break;
         }
-        for (first, peer, wants) in next {
-            if !knows {
+        for (first, peer, wanted) in targets {
+            if !known_only {
                 asked.push(peer.name.clone());
             }
-            let wants = if knows { Vec::new() } else { wants };
-            open.set(open.get() + 1);
-            let put = query_peer(inst.clone(), group.clone(), peer, first, wants);
-            let (asking, asker) = (open.clone(), group.clone());
+            let wanted = if known_only { Vec::new() } else { wanted };
+            in_flight.set(in_flight.get() + 1);
+            let query = query_peer(inst.clone(), group.clone(), peer, first, wanted);
+            let (count, owner) = (in_flight.clone(), group.clone());
             spawn_local(async move {
-                put.await;
-                asking.set(asking.get() - 1);
-                asker.queries.progress.notify_waiters();
+                query.await;
+                count.set(count.get() - 1);
+                owner.queries.progress.notify_waiters();
             });
         }
-        let pause = if n == 0 { PEER_HEDGE_DELAY } else { STATUS_HEDGE_DELAY };
-        if wait_satisfied(group, wants, &open, Instant::now() + pause).await {
+        let delay = if n == 0 { PEER_HEDGE_DELAY } else { STATUS_HEDGE_DELAY };
+        if wait_satisfied(group, pending, &in_flight, Instant::now() + delay).await {
             return;
         }
     }
-    while open.get() > 0 && !wait_satisfied(group, wants, &open, Instant::now() + ORDER_TIMEOUT).await {}
+    while in_flight.get() > 0
+        && !wait_satisfied(group, pending, &in_flight, Instant::now() + ORDER_TIMEOUT).await
+    {}
 }
 
-/// Whom to ask next, and for what: one instance for all, as it knows the rest as well; while nobody is known to lead, one for
-/// each server unless it is a home of several, as any of them may.
+/// Selects the instances to query next, with the queries that each of them gets.
+///
+/// If a primary is known, a single instance gets all queries, because it knows the other servers' statuses as well. Otherwise
+/// any server may be the primary, so each server's query goes to an instance of its own, unless an instance that is already
+/// selected is also one of the server's homes.
 fn pick_targets(
     inst: &Instance,
     group: &Group,
@@ -233,64 +251,71 @@
     asked: &[Name],
 ) -> Vec<(PendingQuery, Rc<Peer>, Vec<PendingQuery>)> {
     let mut out: Vec<(PendingQuery, Rc<Peer>, Vec<PendingQuery>)> = Vec::new();
-    let one = group.primary().is_some();
-    for it in missing {
-        let covers = |peer: &Peer| one || it.0.has_home(&peer.name);
+    let single = group.primary().is_some();
+    for query in missing {
+        let covers = |peer: &Peer| single || query.0.has_home(&peer.name);
         let known = out.iter_mut().find(|target| covers(&target.1));
         match known {
-            Some(target) => target.2.push(it),
+            Some(target) => target.2.push(query),
             None => {
-                let peer = it.0.pick_peer_except(inst, &Owner::Shared, asked);
-                out.extend(peer.map(|peer| (it.clone(), peer, vec![it])));
+                let peer = query.0.pick_peer_except(inst, &Owner::Shared, asked);
+                out.extend(peer.map(|peer| (query.clone(), peer, vec![query])));
             }
         }
     }
     out
 }
 
-/// Waits until what is wanted is known, which it says, all questions are answered, or the end.
-async fn wait_satisfied(group: &Group, wants: &[PendingQuery], open: &Cell<usize>, end: Instant) -> bool {
+/// Waits until all queries are satisfied, none is in flight, or the deadline has passed. Returns true if all are satisfied.
+async fn wait_satisfied(
+    group: &Group,
+    pending: &[PendingQuery],
+    in_flight: &Cell<usize>,
+    deadline: Instant,
+) -> bool {
     loop {
-        let news = group.queries.progress.notified();
-        if wants.iter().all(is_satisfied) {
+        let progress = group.queries.progress.notified();
+        if pending.iter().all(is_satisfied) {
             return true;
         }
-        if open.get() == 0 || timeout_at(end, news).await.is_err() {
+        if in_flight.get() == 0 || timeout_at(deadline, progress).await.is_err() {
             return false;
         }
     }
 }
 
-/// Asks another instance, which was chosen for the `first` server's sake, also when nobody waits for it any longer: one that
-/// doesn't answer is passed over by later questions.
+/// Queries an instance, which was selected for the server of `first`, for the statuses in `wanted`.
+///
+/// Runs to its end even if no caller waits for the result any longer, so that later queries avoid an instance that doesn't
+/// answer.
 async fn query_peer(
     inst: Rc<Instance>,
     group: Rc<Group>,
     peer: Rc<Peer>,
     first: PendingQuery,
-    wants: Vec<PendingQuery>,
+    wanted: Vec<PendingQuery>,
 ) {
     let sent = inst.now();
-    let wanted = |(up, since): &PendingQuery| {
+    let query = |(up, since): &PendingQuery| {
         up.asked_at.set(sent);
         StatusQuery { server: up.entry().as_ref().into(), age: sent.saturating_sub(*since) }
     };
-    let ask = Request::State { group: group.name.clone(), wanted: wants.iter().map(wanted).collect() };
+    let request = Request::State { group: group.name.clone(), wanted: wanted.iter().map(query).collect() };
     inst.counters.increment(Count::Inquiries);
-    let told = timeout(ORDER_TIMEOUT, peer.ask(&inst, ask)).await;
+    let response = timeout(ORDER_TIMEOUT, peer.ask(&inst, request)).await;
     let now = inst.now();
-    let heard = matches!(told, Ok(Response::State(_)));
-    if let Ok(Response::State(told)) = told {
-        group.apply_reports(&told, sent, now);
+    let answered = matches!(response, Ok(Response::State(_)));
+    if let Ok(Response::State(reports)) = response {
+        group.apply_reports(&reports, sent, now);
     }
-    if !heard || (!wants.is_empty() && !is_satisfied(&first)) {
+    if !answered || (!wanted.is_empty() && !is_satisfied(&first)) {
         first.0.back_off_peer(&peer.name, now, false);
-        log::debug!(group = group.name.as_str(), peer = peer.name.as_str(), heard; "no news");
+        log::debug!(group = group.name.as_str(), peer = peer.name.as_str(), heard = answered; "no news");
     }
-    for (up, _) in &wants {
-        // What was told may have been asked for long before.
+    for (up, _) in &wanted {
+        // A reported status may have been requested from the server long before this query.
         if up.asked_at.get() == sent {
-            up.asked_at.set(up.status().map_or(0, |it| it.0));
+            up.asked_at.set(up.status().map_or(0, |known| known.0));
         }
     }
 }
