--- a/crates/engine/src/group/discovery.rs
+++ b/crates/engine/src/group/discovery.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Calls [`Group::request_initial_status`] for all servers, once the other instances are known.
+    /// Calls `request_initial_status` for all servers, once the other instances are known.
     pub fn request_initial_statuses(&self, inst: &Instance) {
         for up in self.servers() {
             self.request_initial_status(inst, &up);
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A server of a group, as this instance sees it.
+//! State of a server as seen by this instance.
 
 use {
     crate::{
@@ -29,93 +29,105 @@
     tokio::{sync::Notify, time::Instant},
 };
 
-/// After a server said that it is busy, others are preferred for this long.
-const BUSY_PAUSE: Duration = Duration::from_millis(15);
+/// Time for which other servers are preferred after a server has answered that it is busy.
+const BUSY_BACKOFF: Duration = Duration::from_millis(15);
 
-/// An instance that couldn't run something at a server.
+/// An instance that is not used to reach a server for a while.
 pub(crate) struct PeerBackoff {
     name: Name,
     until: Micros,
-    /// Whether it has only too much to do.
+    /// True if the instance is only overloaded.
     overloaded: bool,
 }
 
-/// A statement that was answered.
+/// An answered statement.
 #[derive(Clone, Copy, Debug)]
 pub struct Exchange {
-    /// When it was sent.
+    /// Time at which the statement was sent.
     pub sent_at: Micros,
-    /// It was slow if it took longer than this.
+    /// Latency above which the statement counts as slow, in microseconds.
     pub slow_after: Micros,
-    /// Whether it went over a connection of this instance.
+    /// True if a connection of this instance was used.
     pub direct: bool,
 }
 
 /// A server of a group.
 pub struct Upstream {
-    /// Its place in the group's evidence.
+    /// Index of the server in the group's evidence.
     pub index: usize,
-    /// Connections to it.
+    /// Connections to the server.
     pub pool: Rc<Pool>,
-    /// Turns at it of this instance's statements.
+    /// Permits for this instance's statements.
     pub permits: Rc<PermitQueue>,
-    /// Turns of all instances' statements, where this one hands them out.
+    /// Permits for the statements of all instances, used while this instance is the dispatcher.
     pub shared_permits: Rc<PermitQueue>,
-    /// Since when it has more to do than this instance can hold back alone.
+    /// Time since which the server has been overloaded: a lower limit on this instance alone doesn't relieve it.
     pub(crate) overloaded_since: Cell<Option<Micros>>,
-    /// The instance that then hands out turns; none if it is this one.
+    /// The instance that grants permits while the server is overloaded, or `None` if it is this one.
     pub(crate) dispatcher: RefCell<Option<Name>>,
-    /// Until when this instance orders its statements alone, as that one can't be asked.
+    /// Time until which this instance schedules its statements itself because the dispatcher can't be reached.
     pub(crate) dispatcher_retry_at: Cell<Micros>,
-    /// How long statements take there without a queue.
+    /// Average latency of statements while the server has no queue.
     pub(crate) base_latency: Cell<Average>,
+    /// Directory entry.
     pub(crate) entry: RefCell<Rc<Server>>,
+    /// Last status, and the time at which it was requested.
     pub(crate) status: Cell<Option<(Micros, Status)>>,
-    /// When that came.
+    /// Time at which the last status arrived.
     pub(crate) status_at: Cell<Micros>,
-    /// When it was known to have come back with nothing: what others were told before doesn't count.
+    /// Time at which a restart or the loss of the log became known. Statuses requested before it don't count.
     pub(crate) log_lost_at: Cell<Micros>,
-    /// What it counts for after it came back with nothing.
+    /// Progress of the recovery from a restart or from the loss of the log.
     pub(crate) recovery: Cell<Option<Recovery>>,
+    /// Expected latency of statements.
     pub(crate) latency: Cell<Pace>,
+    /// Estimated replica lag.
     pub(crate) lag: Cell<Lag>,
+    /// Time of the last answer.
     pub(crate) last_contact: Cell<Micros>,
+    /// Time since which an answer has been outstanding.
     pub(crate) unanswered_since: Cell<Option<Micros>>,
+    /// Time since which the server's address has refused connections.
     pub(crate) refused_since: Cell<Option<Micros>>,
+    /// Time until which other servers are preferred.
     pub(crate) avoid_until: Cell<Micros>,
-    /// As of which change of placement the next three are known.
+    /// Version of the placement that the next three fields are derived from.
     pub(crate) placement_version: Cell<u64>,
-    /// Whether this instance has a share of its connections.
+    /// True if this instance is a home of the server: it has a share of the server's connections.
     pub(crate) home: Cell<bool>,
-    /// Other instances to go through, the first one first: its homes, and then those that stand in for them.
+    /// Other instances through which the server can be reached, in order of preference: first its homes, then their
+    /// substitutes.
     pub(crate) ranked_peers: RefCell<Vec<Name>>,
-    /// How many of these are homes.
+    /// Number of homes among the ranked peers.
     pub(crate) home_count: Cell<usize>,
-    /// Whether it is reached over connections of this instance.
+    /// True if connections of this instance reach the server.
     pub(crate) reachable: Cell<bool>,
-    /// When that was last tried.
+    /// Time of the last attempt to reconnect to an unreachable server.
     pub(crate) probed_at: Cell<Micros>,
-    /// Instances that are passed over for a while.
+    /// Instances that are not used for a while.
     pub(crate) backoffs: RefCell<Vec<PeerBackoff>>,
-    /// Since when it says that it leaves.
+    /// Time since which the server has been draining.
     pub(crate) draining_since: Cell<Option<Micros>>,
+    /// Time since which the directory entry has been missing.
     pub(crate) missing_since: Cell<Option<Micros>>,
+    /// True if the server was removed from the group.
     pub(crate) removed: Cell<bool>,
-    /// Whether a later run of its process is known: this one never comes back.
+    /// True if a later process of the server is known, so that this one never returns.
     pub(crate) superseded: Cell<bool>,
-    /// Whether its account of itself was ever wanted.
+    /// True if this instance has ever requested the server's status.
     pub(crate) in_use: Cell<bool>,
-    /// An account of itself is wanted that was asked for at this time or later.
+    /// Earliest time at which the status that the polling task has to obtain may have been requested.
     pub(crate) requested_since: Cell<Micros>,
-    /// When it was last asked.
+    /// Time of the last status request.
     pub(crate) asked_at: Cell<Micros>,
-    /// When a question was sent over a connection of this instance that has no answer yet.
+    /// Time at which a status request without an answer so far was sent over a connection of this instance.
     pub(crate) pending_since: Cell<Option<Micros>>,
+    /// Notifies the polling task.
     pub(crate) poll_request: Notify,
 }
 
 impl Upstream {
-    /// A server of which only its entry is known.
+    /// Creates a server from its directory entry.
     pub fn new(index: usize, server: Server, clock: Clock) -> Upstream {
         let now = clock.now();
         let draining = server.draining.then_some(now);
@@ -158,65 +170,69 @@
         }
     }
 
-    /// Its entry in the directory.
+    /// The server's directory entry.
     pub fn entry(&self) -> Rc<Server> {
         self.entry.borrow().clone()
     }
 
-    /// What it last said about itself, and when it was asked.
+    /// The last status, and the time at which it was requested.
     pub fn status(&self) -> Option<(Micros, Status)> {
         self.status.get()
     }
 
-    /// Whether an answer to a question sent at `sent` shows a shorter log than one that had come before, in the same term.
+    /// Returns true if the response to a request sent at `sent` shows a shorter log than a response that had arrived before
+    /// `sent`, in the same term.
     pub(crate) fn shows_log_loss(&self, status: Status, sent: Micros) -> bool {
         let Some((_, old)) = self.status.get() else { return false };
         let later = sent >= self.status_at.get();
         later && status.term == old.term && status.received.lsn < old.received.lsn
     }
 
-    /// Whether an account that was asked for at `sent` or later, and went through other instances, adds to what is known. One
-    /// that shows less than was known may have been asked for before that, unless it is certain to be later.
+    /// Returns true if a status that another instance requested at `sent` or later adds to the known status.
+    ///
+    /// A status with an earlier position than the known one may be older, unless it was certainly requested later.
     pub(crate) fn is_update(&self, status: Status, sent: Micros) -> bool {
-        let later = self.status.get().is_none_or(|it| sent > it.0);
+        let later = self.status.get().is_none_or(|known| sent > known.0);
         later && !self.is_outdated(status, sent)
     }
 
-    /// Whether an answer to a question sent at `sent` shows less than what came meanwhile: it may be from before that, or show
-    /// a loss.
+    /// Returns true if the response to a request sent at `sent` shows an earlier position than a status that arrived after
+    /// `sent`, or if the loss of the log became known after `sent`.
+    ///
+    /// In the first case the response either is older or shows the loss of the log.
     pub(crate) fn is_outdated(&self, status: Status, sent: Micros) -> bool {
-        let shown = |it: Status| (it.term, it.received.lsn);
-        let less = self.status.get().is_some_and(|it| shown(status) < shown(it.1));
-        sent < self.log_lost_at.get() || less && sent < self.status_at.get()
+        let position = |s: Status| (s.term, s.received.lsn);
+        let earlier = self.status.get().is_some_and(|known| position(status) < position(known.1));
+        sent < self.log_lost_at.get() || earlier && sent < self.status_at.get()
     }
 
-    /// Notes something about its recovery, if it came back with nothing.
-    pub(crate) fn update_recovery(&self, note: impl FnOnce(&mut Recovery)) {
-        if let Some(mut it) = self.recovery.get() {
-            note(&mut it);
-            self.recovery.set(Some(it));
+    /// Updates the recovery state, if the server has restarted or lost its log.
+    pub(crate) fn update_recovery(&self, update: impl FnOnce(&mut Recovery)) {
+        if let Some(mut recovery) = self.recovery.get() {
+            update(&mut recovery);
+            self.recovery.set(Some(recovery));
         }
     }
 
-    /// When it last answered anything.
+    /// Time of the last answer of any kind.
     pub fn last_contact(&self) -> Micros {
         self.last_contact.get()
     }
 
-    /// Since when it owes an answer.
+    /// Time since which an answer has been outstanding.
     pub fn unanswered_since(&self) -> Option<Micros> {
         self.unanswered_since.get()
     }
 
-    /// Since when its address refuses connections.
+    /// Time since which the server's address has refused connections.
     pub fn refused_since(&self) -> Option<Micros> {
         self.refused_since.get()
     }
 
-    /// What is known of it, for a log line.
+    /// State of the server as text for a log line.
     pub fn summary(&self, now: Micros) -> String {
-        let role = self.status.get().map_or("unknown", |it| it.1.role.into());
-        let took_ms = self.latency.get().expected(now) as u64 / 1_000;
+        let role = self.status.get().map_or("unknown", |known| known.1.role.into());
+        let latency_ms = self.latency.get().expected(now) as u64 / 1_000;
         let lag_ms = self.lag.get().get(now) / 1_000;
         let reach = match (self.home.get(), self.reachable.get()) {
             (true, true) => "direct",
@@ -224,69 +240,73 @@
             (false, _) => "relayed",
         };
         let id = self.entry().id.clone();
-        let (pool, turns) = (self.pool.summary(), self.permits.summary());
-        let crowded = self.overloaded_since.get().is_some();
-        format!("{id} {role} {reach} took_ms={took_ms} lag_ms={lag_ms} {pool} {turns} crowded={crowded}")
+        let (pool, permits) = (self.pool.summary(), self.permits.summary());
+        let overloaded = self.overloaded_since.get().is_some();
+        format!(
+            "{id} {role} {reach} took_ms={latency_ms} lag_ms={lag_ms} {pool} {permits} crowded={overloaded}"
+        )
     }
 
-    /// Whether new work may go to it: not for long after it said that it leaves.
+    /// Returns true if the server may get new work. A draining server accepts work only until [`DRAIN_MARGIN`] before the
+    /// end of its drain period.
     pub fn accepts_work(&self, inst: &Instance) -> bool {
         let limit = micros(inst.bounds.get().drain.saturating_sub(DRAIN_MARGIN));
         !self.is_removed() && self.draining_since.get().is_none_or(|at| inst.now().saturating_sub(at) < limit)
     }
 
-    /// Whether its entry has been missing for so long, or it has left as it had said, that it counts as gone.
+    /// Returns true if the directory entry has been missing since before `limit`, or is missing and the server was draining
+    /// and no longer answers.
     pub(crate) fn is_expired(&self, limit: Micros) -> bool {
         let left = self.draining_since.get().is_some()
             && (self.unanswered_since.get().is_some() || self.refused_since.get().is_some());
         self.missing_since.get().is_some_and(|at| at < limit || left)
     }
 
-    /// Whether it has left the directory for good.
+    /// Returns true if the server was removed from the group.
     pub fn is_removed(&self) -> bool {
         self.removed.get()
     }
 
-    /// It answered.
+    /// Records an answer of the server.
     pub fn record_contact(&self, now: Micros) {
         self.last_contact.set(now);
         self.unanswered_since.set(None);
         self.refused_since.set(None);
     }
 
-    /// Draws conclusions from the answer to a statement.
+    /// Updates estimates, limits and evidence from the answer to a statement.
     pub fn record_answer(&self, inst: &Instance, group: &Group, answer: &Answer, run: Exchange) {
         let now = inst.now();
-        let took = now.saturating_sub(run.sent_at);
+        let elapsed = now.saturating_sub(run.sent_at);
         self.record_contact(now);
         match answer.error_code() {
             None => {
-                self.record_latency(took, now);
-                self.record_base_latency(run, took);
-                self.adjust_limit(run, took <= run.slow_after);
-                if let Some(at) = answer.mark {
-                    group.observe_position(self, at, run.sent_at);
+                self.record_latency(elapsed, now);
+                self.record_base_latency(run, elapsed);
+                self.adjust_limit(run, elapsed <= run.slow_after);
+                if let Some(position) = answer.mark {
+                    group.observe_position(self, position, run.sent_at);
                 }
             }
             Some(ErrorCode::Busy) => {
-                self.avoid_for(now, BUSY_PAUSE);
+                self.avoid_for(now, BUSY_BACKOFF);
                 self.adjust_limit(run, false);
             }
-            Some(ErrorCode::Lagging) => self.avoid_for(now, BUSY_PAUSE),
+            Some(ErrorCode::Lagging) => self.avoid_for(now, BUSY_BACKOFF),
             Some(ErrorCode::ReadOnly) => group.handle_not_primary(self, now),
             Some(_) => {}
         }
     }
 
-    /// Turns are those of statements over connections of this instance.
-    fn adjust_limit(&self, run: Exchange, quick: bool) {
-        // Those of a crowded server are learned from where they are handed out.
+    /// Adjusts the limit of the local permits, which only cover statements over connections of this instance.
+    fn adjust_limit(&self, run: Exchange, fast: bool) {
+        // The permits of an overloaded server are adjusted by the instance that grants them.
         if run.direct && !self.uses_dispatcher(run.sent_at) {
-            self.permits.adjust_limit(quick);
+            self.permits.adjust_limit(fast);
         }
     }
 
-    /// It has more to do than single instances can hold back. False if that was known.
+    /// Marks the server as overloaded: limits on single instances don't relieve it. Returns false if it was marked already.
     pub fn mark_overloaded(&self, now: Micros) -> bool {
         let new = self.overloaded_since.get().is_none();
         if new {
@@ -296,51 +316,51 @@
         new
     }
 
-    /// The instance that hands out turns for all can't be asked: this one orders its statements alone for a while.
+    /// Schedules this instance's statements locally for a while, because the dispatcher can't be reached.
     pub(crate) fn back_off_dispatcher(&self, now: Micros) {
         self.dispatcher_retry_at.set(now + micros(RELAY_FAILED_BACKOFF));
     }
 
-    /// Whether turns at it come from one instance for all.
+    /// Returns true if permits come from the dispatcher.
     fn uses_dispatcher(&self, now: Micros) -> bool {
         self.overloaded_since.get().is_some() && self.dispatcher_retry_at.get() <= now
     }
 
-    /// Whether it has a queue, as far as this instance knows.
+    /// Returns true if the server has a queue, as far as this instance knows.
     pub fn has_queue(&self) -> bool {
         self.overloaded_since.get().is_some() || self.permits.is_limit_reduced()
     }
 
-    /// Learns how long statements take without a queue.
-    fn record_base_latency(&self, run: Exchange, took: Micros) {
+    /// Records the latency of a statement that found no queue, in microseconds.
+    fn record_base_latency(&self, run: Exchange, elapsed: Micros) {
         if run.direct && (!self.has_queue() || !self.base_latency.get().is_settled()) {
-            let mut it = self.base_latency.get();
-            it.observe(took);
-            self.base_latency.set(it);
+            let mut average = self.base_latency.get();
+            average.observe(elapsed);
+            self.base_latency.set(average);
         }
     }
 
-    /// It took this long for a statement.
-    pub fn record_latency(&self, took: Micros, now: Micros) {
-        let mut it = self.latency.get();
-        it.observe(took, now);
-        self.latency.set(it);
+    /// Records the latency of a statement, in microseconds.
+    pub fn record_latency(&self, elapsed: Micros, now: Micros) {
+        let mut latency = self.latency.get();
+        latency.observe(elapsed, now);
+        self.latency.set(latency);
     }
 
-    /// How long a statement may take until its connection is doubted.
+    /// Duration after which a statement without an answer may be waiting on a stalled connection.
     pub fn stall_timeout(&self, now: Micros) -> Duration {
         let expected = Duration::from_micros(self.latency.get().expected(now) as Micros);
         STALL_TIMEOUT.max(expected * STALL_FACTOR)
     }
 
-    /// A question sent at this time has no answer.
+    /// Records that a request sent at `sent` has no answer.
     pub fn record_unanswered(&self, sent: Micros) {
         if self.unanswered_since.get().is_none() && self.last_contact.get() <= sent {
             self.unanswered_since.set(Some(sent));
         }
     }
 
-    /// It can't be reached over a connection of this instance.
+    /// Records that this instance couldn't connect to the server.
     pub fn record_connect_failure(&self, now: Micros, refused: bool) {
         match refused {
             true => self.record_refused(now),
@@ -350,22 +370,23 @@
         self.request_status();
     }
 
-    /// Connections of this instance don't reach it: those that are idle are as useless.
-    pub(crate) fn mark_unreachable(&self, what: &str) {
+    /// Marks the server as unreachable over connections of this instance, logs `message` if that is new, and closes the idle
+    /// connections, which are as useless.
+    pub(crate) fn mark_unreachable(&self, message: &str) {
         self.pool.trim(Instant::now(), true);
         if self.reachable.replace(false) {
-            log::info!(server = self.entry().id.as_str(); "{what}");
+            log::info!(server = self.entry().id.as_str(); "{message}");
         }
     }
 
-    /// Nobody listens at its address, for other instances neither.
+    /// Records that the server's address refuses connections, which holds for other instances as well.
     pub(crate) fn record_refused(&self, now: Micros) {
         self.refused_since.set(self.refused_since.get().or(Some(now)));
         self.avoid_until.set(now + micros(UNREACHABLE_BACKOFF));
         self.record_unanswered(now);
     }
 
-    /// A statement sent at `sent` has no answer.
+    /// Handles the failure of a statement sent at `sent`, through the instance `via` if there is one.
     pub fn record_run_error(&self, e: &RunError, via: Option<&Name>, sent: Micros, now: Micros) {
         match (e, via) {
             (RunError::Refused, _) => {}
@@ -383,42 +404,44 @@
         }
     }
 
-    /// Whether this instance has a share of its connections, and reaches it.
+    /// Returns true if this instance is a home of the server and reaches it.
     pub fn is_reachable(&self) -> bool {
         self.home.get() && self.reachable.get()
     }
 
-    /// Whether this instance has a share of its connections, and doesn't reach it.
+    /// Returns true if this instance is a home of the server and doesn't reach it.
     pub fn is_home_unreachable(&self) -> bool {
         self.home.get() && !self.reachable.get()
     }
 
-    /// Sets whether this instance has a share of its connections, and the others in the order in which they are
-    /// asked: those that have one, and then the rest.
-    pub fn set_placement(&self, home: bool, ranked: Vec<Name>, homes: usize) {
+    /// Sets whether this instance is a home of the server, and the other instances in order of preference, of which the
+    /// first `home_count` are homes.
+    pub fn set_placement(&self, home: bool, ranked_peers: Vec<Name>, home_count: usize) {
         self.home.set(home);
-        self.home_count.set(homes);
-        *self.ranked_peers.borrow_mut() = ranked;
+        self.home_count.set(home_count);
+        *self.ranked_peers.borrow_mut() = ranked_peers;
     }
 
-    /// The other instance that hands out turns where it has too much to do; none if it is this one.
+    /// The other instance that grants permits while the server is overloaded, or `None` if it is this one.
     pub fn dispatcher(&self) -> Option<Name> {
         self.dispatcher.borrow().clone()
     }
 
-    /// Sets which other instance hands out turns where it has too much to do.
+    /// Sets the other instance that grants permits while the server is overloaded, or `None` for this one.
     pub fn set_dispatcher(&self, name: Option<Name>) {
         *self.dispatcher.borrow_mut() = name;
     }
 
-    /// Another instance to go through: one that has a share of its connections, or a substitute where none of
-    /// these can be reached. One that has only too much to do isn't replaced. All instances go to the same one for
-    /// an organisation, so that its connections are used again instead of being replaced by another's.
+    /// Selects another instance through which to reach the server: one of its homes, or a substitute if no home can be
+    /// reached.
+    ///
+    /// A home that is only overloaded isn't replaced by a substitute. All instances select the same home for an organisation,
+    /// so that its connections are reused instead of being closed to make room for another organisation's.
     pub(crate) fn pick_peer(&self, inst: &Instance, owner: &Owner) -> Option<Rc<Peer>> {
         self.pick_peer_except(inst, owner, &[])
     }
 
-    /// The same, but none of some that were asked already.
+    /// Like [`Upstream::pick_peer`], but excludes the instances in `asked`.
     pub(crate) fn pick_peer_except(
         &self,
         inst: &Instance,
@@ -427,21 +450,21 @@
     ) -> Option<Rc<Peer>> {
         inst.place(self);
         let now = inst.now();
-        let (unfit, homes) = (self.backoffs.borrow(), self.home_count.get());
+        let (backoffs, homes) = (self.backoffs.borrow(), self.home_count.get());
         let mut ranked: Vec<Name> =
             self.ranked_peers.borrow().iter().take(homes + FALLBACK_INSTANCES).cloned().collect();
         if let Owner::Organisation(owner) = owner {
             let n = homes.min(ranked.len());
             inst.order(owner, &mut ranked[..n]);
         }
-        let mut full = false;
-        for (at, name) in ranked.iter().enumerate() {
-            match unfit.iter().find(|it| it.name == *name && it.until > now) {
-                Some(it) => full |= it.overloaded,
-                None if at >= homes && full => return None,
+        let mut overloaded = false;
+        for (index, name) in ranked.iter().enumerate() {
+            match backoffs.iter().find(|b| b.name == *name && b.until > now) {
+                Some(backoff) => overloaded |= backoff.overloaded,
+                None if index >= homes && overloaded => return None,
                 None if asked.contains(name) => {}
                 None => {
-                    let found = inst.peer(name).filter(|it| it.is_usable(now));
+                    let found = inst.peer(name).filter(|p| p.is_usable(now));
                     if found.is_some() {
                         return found;
                     }
@@ -451,32 +474,38 @@
         None
     }
 
-    /// Whether another instance is a home of it.
+    /// Returns true if the other instance is a home of the server.
     pub(crate) fn has_home(&self, peer: &Name) -> bool {
-        self.ranked_peers.borrow().iter().take(self.home_count.get()).any(|it| it == peer)
+        self.ranked_peers.borrow().iter().take(self.home_count.get()).any(|name| name == peer)
     }
 
-    /// Another instance couldn't do it, or has too much to do, and is passed over for a while.
-    pub fn back_off_peer(&self, peer: &Name, now: Micros, full: bool) {
-        let pause = if full { BUSY_PEER_BACKOFF } else { RELAY_FAILED_BACKOFF };
-        let mut unfit = self.backoffs.borrow_mut();
-        unfit.retain(|it| it.until > now && it.name != *peer);
-        unfit.push(PeerBackoff { name: peer.clone(), until: now + micros(pause), overloaded: full });
+    /// Excludes an instance that failed, or is overloaded, from selection for a while.
+    pub fn back_off_peer(&self, peer: &Name, now: Micros, overloaded: bool) {
+        let pause = if overloaded { BUSY_PEER_BACKOFF } else { RELAY_FAILED_BACKOFF };
+        let mut backoffs = self.backoffs.borrow_mut();
+        backoffs.retain(|b| b.until > now && b.name != *peer);
+        backoffs.push(PeerBackoff { name: peer.clone(), until: now + micros(pause), overloaded });
     }
 
-    /// A way through another instance, for an owner's statements.
-    pub async fn open_relayed(&self, inst: &Rc<Instance>, owner: &Owner, until: Instant) -> Option<Relayed> {
+    /// Opens a stream through another instance for an owner's statements, which may wait there for a connection until
+    /// `deadline`.
+    pub async fn open_relayed(
+        &self,
+        inst: &Rc<Instance>,
+        owner: &Owner,
+        deadline: Instant,
+    ) -> Option<Relayed> {
         for _ in 0..MAX_RELAYS {
             let peer = self.pick_peer(inst, owner)?;
             if let Some(link) = peer.link(inst).await {
                 let server = self.entry().as_ref().into();
-                return Some(Relayed::new(peer.name.clone(), link, server, owner.clone(), until));
+                return Some(Relayed::new(peer.name.clone(), link, server, owner.clone(), deadline));
             }
         }
         None
     }
 
-    /// Tries, now and then, whether a server that others reach can be reached again.
+    /// Tries to reconnect to a server that other instances reach, at most once per [`RECONNECT_INTERVAL`].
     pub(crate) fn try_reconnect(&self, inst: &Rc<Instance>, group: &Group) {
         let now = inst.now();
         if !self.home.get() || now < self.probed_at.get() + micros(RECONNECT_INTERVAL) {
@@ -486,31 +515,31 @@
         let (inst, index, group) = (inst.clone(), self.index, group.name.clone());
         tokio::task::spawn_local(async move {
             let Some(group) = inst.group(&group) else { return };
-            let known = group.servers().into_iter().find(|it| it.index == index);
-            if let Some(it) = known
-                && send_direct(&inst, &group, &it, &Order::Status).await.is_some()
+            let known = group.servers().into_iter().find(|s| s.index == index);
+            if let Some(up) = known
+                && send_direct(&inst, &group, &up, &Order::Status).await.is_some()
             {
-                log::info!(server = it.entry().id.as_str(); "reached again");
+                log::info!(server = up.entry().id.as_str(); "reached again");
             }
         });
     }
 
-    /// It has too much to do: others are preferred for a moment.
+    /// Prefers other servers for the duration of `pause`.
     pub fn avoid_for(&self, now: Micros, pause: Duration) {
         self.avoid_until.set(now + micros(pause));
     }
 
-    /// A read showed that its log holds, or lacks, a position of this age.
-    pub fn record_lag(&self, age: Micros, holds: bool, now: Micros) {
-        let mut it = self.lag.get();
-        match holds {
-            true => it.reached(age, now),
-            false => it.lacked(age, now),
+    /// Updates the lag from a read that showed whether the server had reached a position that is `age` microseconds old.
+    pub fn record_lag(&self, age: Micros, reached: bool, now: Micros) {
+        let mut lag = self.lag.get();
+        match reached {
+            true => lag.reached(age, now),
+            false => lag.lacked(age, now),
         }
-        self.lag.set(it);
+        self.lag.set(lag);
     }
 
-    /// Asks it for its account of itself, soon.
+    /// Requests the server's status from the polling task.
     pub fn request_status(&self) {
         self.request_status_after(Micros::MAX);
     }
@@ -521,7 +550,7 @@
         self.poll_request.notify_one();
     }
 
-    /// The same, unless it was asked at `since` or later.
+    /// Requests the server's status unless a request was sent at `since` or later.
     pub fn request_status_since(&self, since: Micros) {
         if self.asked_at.get() < since {
             self.request_status_after(since);
