--- a/crates/engine/src/conn.rs
+++ b/crates/engine/src/conn.rs
@@ -1,4 +1,4 @@
-//! One connection to a server.
+//! A connection to a server.
 
 use {
     crate::{
@@ -22,16 +22,16 @@
     },
 };
 
-/// The first size of a connection's buffer, in bytes: most answers are smaller.
+/// Initial capacity of a connection's receive buffer, in bytes. Most answers are smaller.
 const BUFFER_CAPACITY: usize = 2_048;
 
 /// Session values, sorted by name.
 pub type SessionValues = Rc<Vec<(Name, Name)>>;
 
-/// Why an exchange with a server has no answer.
+/// Errors of an exchange with a server.
 #[derive(Debug, Snafu)]
 pub enum ConnError {
-    /// The connection isn't there.
+    /// The connection could not be established.
     #[snafu(display("{peer}: connect: {source}"))]
     Connect {
         /// The server.
@@ -39,21 +39,21 @@
         /// The cause.
         source: io::Error,
     },
-    /// The server doesn't answer in time.
+    /// The server did not answer the handshake in time.
     #[snafu(display("{peer}: open: no answer in time"))]
     Timeout {
         /// The server.
         peer: SocketAddrV4,
     },
-    /// The server refuses the connection.
+    /// The server refused the connection.
     #[snafu(display("{peer}: open: refused as {code}"))]
     Refused {
         /// The server.
         peer: SocketAddrV4,
-        /// Why.
+        /// The server's error code.
         code: ErrorCode,
     },
-    /// The connection broke; what was sent may have run.
+    /// The connection failed; a statement that was sent may have run.
     #[snafu(display("{peer}: exchange: {source}"))]
     Broken {
         /// The server.
@@ -61,18 +61,18 @@
         /// The cause.
         source: io::Error,
     },
-    /// The server sent something else than an answer.
+    /// The server sent an invalid answer.
     #[snafu(display("{peer}: exchange: {source}"))]
     Wire {
         /// The server.
         peer: SocketAddrV4,
-        /// What is wrong with it.
+        /// The protocol error.
         source: WireError,
     },
 }
 
 impl ConnError {
-    /// Whether the address shows that the server isn't there.
+    /// Returns true if the error shows that the server isn't running at its address.
     pub fn is_refusal(&self) -> bool {
         match self {
             ConnError::Connect { source, .. } => {
@@ -90,18 +90,18 @@
     peer: SocketAddrV4,
     stream: TcpStream,
     buf: BytesMut,
-    /// Whose statements it carries.
+    /// The organisation whose statements the connection carries.
     pub owner: Owner,
-    /// The session values set on it; none when they are not known.
+    /// The session values set on the connection, or `None` if they are not known.
     pub values: Option<SessionValues>,
-    /// The names of statements prepared on it, sorted.
+    /// Names of the statements prepared on the connection, sorted.
     pub prepared: Vec<Name>,
-    /// Its transaction state after the last answer.
+    /// Transaction state after the last answer.
     pub txn: TxnState,
 }
 
 impl Conn {
-    /// Opens a connection; the server has to have the id that its entry names.
+    /// Opens a connection. Fails if the server at the address doesn't have the id in its directory entry, or on timeout.
     pub async fn open(dialect: &dyn WireProtocol, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
         let peer = server.addr;
         timeout(CONNECT_TIMEOUT, Conn::handshake(dialect, server, owner))
@@ -113,10 +113,10 @@
         let peer = server.addr;
         let stream = TcpStream::connect(SocketAddr::V4(peer)).await.context(ConnectSnafu { peer })?;
         stream.set_nodelay(true).context(ConnectSnafu { peer })?;
-        // Closed, it is reset: an order that nobody waits for any longer must not arrive later.
+        // Closing resets the connection, so that an order that was given up can't arrive later.
         stream.set_zero_linger().context(ConnectSnafu { peer })?;
         let buf = BytesMut::with_capacity(BUFFER_CAPACITY);
-        let mut it = Conn {
+        let mut conn = Conn {
             peer,
             stream,
             buf,
@@ -126,24 +126,24 @@
             txn: TxnState::Idle,
         };
         let mut out = BytesMut::new();
-        dialect.encode_open(&server.group, &server.id, &it.owner, &mut out);
-        it.send(&out).await?;
+        dialect.encode_open(&server.group, &server.id, &conn.owner, &mut out);
+        conn.send(&out).await?;
         loop {
-            if let Some(answer) = dialect.decode_open(&mut it.buf).context(WireSnafu { peer })? {
+            if let Some(answer) = dialect.decode_open(&mut conn.buf).context(WireSnafu { peer })? {
                 return match answer.error_code() {
-                    None => Ok(it),
+                    None => Ok(conn),
                     Some(code) => Err(ConnError::Refused { peer, code }),
                 };
             }
-            it.fill_buffer().await?;
+            conn.fill_buffer().await?;
         }
     }
 
-    /// Whether nothing says that the connection has ended; costs no system call while that is so.
+    /// Returns true if the connection is not known to be closed. Makes no system call as long as nothing has arrived.
     pub fn is_alive(&self) -> bool {
-        let mut one = [0];
-        // Bytes that nobody asked for make it as useless as an end.
-        matches!(self.stream.try_read(&mut one), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        let mut byte = [0];
+        // Unexpected bytes make the connection as useless as the end of the stream.
+        matches!(self.stream.try_read(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
             && self.buf.is_empty()
     }
 
@@ -156,15 +156,15 @@
     pub async fn next_answer(&mut self, dialect: &dyn WireProtocol) -> Result<Answer, ConnError> {
         loop {
             let answer = dialect.decode_answer(&mut self.buf).context(WireSnafu { peer: self.peer })?;
-            if let Some(it) = answer {
-                self.txn = it.txn;
-                return Ok(it);
+            if let Some(answer) = answer {
+                self.txn = answer.txn;
+                return Ok(answer);
             }
             self.fill_buffer().await?;
         }
     }
 
-    /// Gives an order.
+    /// Sends an order and waits for its answer.
     pub async fn send_order(
         &mut self,
         dialect: &dyn WireProtocol,
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -1,8 +1,9 @@
-//! The connections of one instance to one server.
+//! Pool of an instance's connections to a server.
 //!
-//! Connections are scarce: the instances share out the server's limit. A connection belongs to one
-//! statement or one transaction at a time, and all its life to one [`Owner`]; who waits gets the next one by priority,
-//! then by arrival. Where all belong to others, the one that has been idle for the longest makes room.
+//! Connections are scarce: the instances divide the server's connection limit among them. A connection is used by one
+//! statement or transaction at a time, and belongs to one [`Owner`] for its whole life. Waiters are served by priority, then
+//! in order of arrival. If all idle connections belong to other owners, the one that has been idle for the longest is closed
+//! to make room for a new one.
 
 use {
     crate::{
@@ -23,41 +24,42 @@
     },
 };
 
-/// How often a connection may go to others than the first who waits, as it is of their organisation: opening another one
-/// costs the server a turn, and the first one must not wait for as long as others come.
+/// Maximum number of times that a waiter at the head of the queue is bypassed by a later one whose organisation owns the
+/// released connection. Reuse saves the server the cost of opening a connection; the bound prevents starvation of the first
+/// waiter.
 const MAX_BYPASSES: u32 = 3;
 
-/// Why there is no connection.
+/// Errors of acquiring a connection.
 #[derive(Debug)]
 pub enum PoolError {
-    /// All are in use for longer than the caller can wait.
+    /// All connections remained in use until the deadline.
     Busy,
-    /// The server has no connection to spare, and this instance has none.
+    /// The server's connection limit is reached, and this instance has no connection to the server.
     Full,
     /// The server can't be reached.
     Unreachable(ConnError),
 }
 
-/// Who asks for a connection.
+/// A request for a connection.
 #[derive(Clone, Debug)]
 pub struct ConnRequest {
-    /// Rank; 0 goes first.
+    /// Priority of the request; lower values go first.
     pub priority: u8,
-    /// The end of the wait.
+    /// Time at which the request stops waiting.
     pub deadline: Instant,
-    /// Session values that it would set; a connection that has them is preferred.
+    /// Session values that will be set; a connection that has them already is preferred.
     pub values: Option<SessionValues>,
-    /// Whose connection it has to be; none where any will do.
+    /// Required owner of the connection, or `None` if any will do.
     pub owner: Option<Owner>,
 }
 
 struct Waiter {
     priority: u8,
-    /// Whose connection it wants; none if any will do.
+    /// Required owner of the connection, or `None` if any will do.
     owner: Option<Owner>,
-    /// How often others behind it went first.
+    /// Number of later waiters that were served first.
     bypassed: u32,
-    /// Gets a connection, or nothing when it may try to open one.
+    /// Receives a connection, or `None` as the permission to try opening one.
     sender: oneshot::Sender<Option<PooledConn>>,
 }
 
@@ -66,57 +68,61 @@
     since: Instant,
 }
 
-/// The connections to one server.
+/// Connections to a server.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<Vec<Idle>>,
     waiting: RefCell<Vec<Waiter>>,
+    /// Number of open connections, those that are being opened included.
     open: Cell<usize>,
+    /// Number of connections that are kept open.
     share: Cell<usize>,
+    /// Maximum number of open connections.
     max: Cell<usize>,
+    /// Time until which no connection is opened, because the server's limit was reached.
     full_until: Cell<Option<Instant>>,
-    /// Connections on which transactions rest.
+    /// Number of connections held by transactions.
     pinned: Cell<usize>,
 }
 
 impl Pool {
-    /// Sets how many connections this instance keeps, and how many it opens at most when callers wait.
-    pub fn set_share(&self, share: usize, most: usize) {
+    /// Sets the number of connections that this instance keeps, and the maximum that it opens while callers wait.
+    pub fn set_share(&self, share: usize, max: usize) {
         self.share.set(share);
-        self.max.set(most);
+        self.max.set(max);
     }
 
-    /// Its connections, for a log line.
+    /// Numbers of connections and waiters as text for a log line.
     pub fn summary(&self) -> String {
         let (open, idle, waiting) = (self.open.get(), self.idle.borrow().len(), self.waiting.borrow().len());
-        let (share, most, pinned) = (self.share.get(), self.max.get(), self.pinned.get());
-        format!("conns={open} idle={idle} pinned={pinned} share={share} most={most} wanted={waiting}")
+        let (share, max, pinned) = (self.share.get(), self.max.get(), self.pinned.get());
+        format!("conns={open} idle={idle} pinned={pinned} share={share} most={max} wanted={waiting}")
     }
 
-    /// Whether a connection can be had without a wait.
+    /// Returns true if a connection can be acquired without waiting for another caller.
     pub fn is_available(&self) -> bool {
         !self.idle.borrow().is_empty() || self.may_open()
     }
 
-    /// Whether there is any connection.
+    /// Returns true if any connection is open.
     pub fn has_open(&self) -> bool {
         self.open.get() > 0
     }
 
-    /// Whether transactions rest on all the connections that this instance may have.
+    /// Returns true if transactions hold the maximum number of connections.
     pub fn is_all_pinned(&self) -> bool {
         self.pinned.get() >= self.max.get().max(1)
     }
 
-    /// Lends a connection.
+    /// Acquires a connection: an idle one, a new one, or one that another caller releases before the deadline.
     pub async fn acquire(
         self: &Rc<Self>,
         inst: &Instance,
         server: &Server,
-        want: ConnRequest,
+        request: ConnRequest,
     ) -> Result<PooledConn, PoolError> {
         loop {
-            if let Some(conn) = self.take_idle(&want) {
+            if let Some(conn) = self.take_idle(&request) {
                 return Ok(PooledConn {
                     pool: self.clone(),
                     conn: Some(conn),
@@ -126,32 +132,32 @@
                 });
             }
             if self.may_open() || self.evict_idle() {
-                let owner = want.owner.clone().unwrap_or_default();
+                let owner = request.owner.clone().unwrap_or_default();
                 match self.open(inst, server, owner).await {
-                    Ok(it) => return Ok(it),
+                    Ok(conn) => return Ok(conn),
                     Err(ConnError::Refused { code: ErrorCode::TooMany, .. }) => {}
                     Err(e) => return Err(PoolError::Unreachable(e)),
                 }
             }
-            if Instant::now() >= want.deadline {
+            if Instant::now() >= request.deadline {
                 return Err(PoolError::Busy);
             }
             if self.open.get() == 0 && self.is_full() {
                 return Err(PoolError::Full);
             }
-            if let Some(it) = self.wait_turn(&want).await? {
-                return Ok(it);
+            if let Some(conn) = self.wait_in_queue(&request).await? {
+                return Ok(conn);
             }
         }
     }
 
-    /// Closes connections above the share that nobody uses, and all if the server is to be left alone.
+    /// Closes idle connections: dead ones, those above the share that have been idle for [`EXTRA_CONN_IDLE`], or all.
     pub fn trim(&self, now: Instant, all: bool) {
         let share = self.share.get();
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|it| {
-            let extra = self.open.get() > share && now.duration_since(it.since) >= EXTRA_CONN_IDLE;
-            let keep = !all && !extra && it.conn.is_alive();
+        idle.retain(|i| {
+            let extra = self.open.get() > share && now.duration_since(i.since) >= EXTRA_CONN_IDLE;
+            let keep = !all && !extra && i.conn.is_alive();
             if !keep {
                 self.open.set(self.open.get() - 1);
             }
@@ -159,12 +165,12 @@
         });
     }
 
-    /// Closes connections that have been idle since before a time: one that was in use since then gives no
-    /// answer, and they may be as dead.
+    /// Closes connections that have been idle since `since` or longer. They may be as dead as a connection that has been in
+    /// use since then without an answer.
     pub fn close_idle_before(&self, since: Instant) {
         let mut idle = self.idle.borrow_mut();
         let before = idle.len();
-        idle.retain(|it| it.since > since);
+        idle.retain(|i| i.since > since);
         self.open.set(self.open.get() - (before - idle.len()));
     }
 
@@ -172,34 +178,34 @@
         !self.is_full() && self.open.get() < self.max.get().max(1)
     }
 
-    /// Whether the server has refused a connection just now.
+    /// Returns true if the server recently refused a connection because its limit was reached.
     fn is_full(&self) -> bool {
-        self.full_until.get().is_some_and(|it| it > Instant::now())
+        self.full_until.get().is_some_and(|until| until > Instant::now())
     }
 
-    /// Closes the connection that has been idle for the longest, of whichever owner, so that another can be opened;
-    /// false if none is idle.
+    /// Closes the connection that has been idle for the longest, of any owner, so that another one can be opened. Returns
+    /// false if no connection is idle.
     fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = (0..idle.len()).min_by_key(|at| idle[*at].since);
-        if let Some(at) = oldest {
-            idle.remove(at);
+        let oldest = (0..idle.len()).min_by_key(|i| idle[*i].since);
+        if let Some(index) = oldest {
+            idle.remove(index);
             self.open.set(self.open.get() - 1);
         }
         oldest.is_some()
     }
 
-    fn take_idle(&self, want: &ConnRequest) -> Option<Conn> {
+    fn take_idle(&self, request: &ConnRequest) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
-        let fits = |it: &Idle| want.owner.as_ref().is_none_or(|owner| it.conn.owner == *owner);
+        let matches = |i: &Idle| request.owner.as_ref().is_none_or(|owner| i.conn.owner == *owner);
         loop {
-            let alike = want.values.as_ref().and_then(|values| {
-                idle.iter().rposition(|it| fits(it) && it.conn.values.as_ref() == Some(values))
+            let same_values = request.values.as_ref().and_then(|values| {
+                idle.iter().rposition(|i| matches(i) && i.conn.values.as_ref() == Some(values))
             });
-            let at = alike.or_else(|| idle.iter().rposition(fits))?;
-            let it = idle.remove(at);
-            if it.conn.is_alive() {
-                return Some(it.conn);
+            let index = same_values.or_else(|| idle.iter().rposition(matches))?;
+            let taken = idle.remove(index);
+            if taken.conn.is_alive() {
+                return Some(taken.conn);
             }
             self.open.set(self.open.get() - 1);
         }
@@ -211,15 +217,15 @@
         server: &Server,
         owner: Owner,
     ) -> Result<PooledConn, ConnError> {
-        // Counted before it is there, so that callers at the same time don't open too many.
+        // Counted before the connection is open, so that concurrent callers don't open too many.
         self.open.set(self.open.get() + 1);
-        let mut place =
+        let mut pooled =
             PooledConn { pool: self.clone(), conn: None, returned: false, new: true, pinned: false };
         inst.counters.increment(Count::Opened);
         match Conn::open(inst.adapters.protocol.as_ref(), server, owner).await {
             Ok(conn) => {
-                place.conn = Some(conn);
-                Ok(place)
+                pooled.conn = Some(conn);
+                Ok(pooled)
             }
             Err(e) => {
                 if let ConnError::Refused { code: ErrorCode::TooMany, .. } = e {
@@ -231,35 +237,35 @@
         }
     }
 
-    /// Waits for a turn: a connection, or leave to try and open one.
-    async fn wait_turn(&self, want: &ConnRequest) -> Result<Option<PooledConn>, PoolError> {
-        let (turn, got) = oneshot::channel();
-        let mut place = WaitGuard { pool: self, got };
+    /// Waits in the queue for a connection, or for the permission to try opening one, which is returned as `None`.
+    async fn wait_in_queue(&self, request: &ConnRequest) -> Result<Option<PooledConn>, PoolError> {
+        let (sender, receiver) = oneshot::channel();
+        let mut guard = WaitGuard { pool: self, receiver };
         {
             let mut waiting = self.waiting.borrow_mut();
-            let at = waiting.partition_point(|it| it.priority <= want.priority);
-            let (priority, owner) = (want.priority, want.owner.clone());
-            waiting.insert(at, Waiter { priority, owner, bypassed: 0, sender: turn });
+            let index = waiting.partition_point(|w| w.priority <= request.priority);
+            let (priority, owner) = (request.priority, request.owner.clone());
+            waiting.insert(index, Waiter { priority, owner, bypassed: 0, sender });
         }
-        match timeout_at(want.deadline, &mut place.got).await {
-            Ok(Ok(it)) => Ok(it),
+        match timeout_at(request.deadline, &mut guard.receiver).await {
+            Ok(Ok(conn)) => Ok(conn),
             Ok(Err(_)) | Err(_) => Err(PoolError::Busy),
         }
     }
 
-    /// Lets the next one try to open a connection.
+    /// Lets the next waiter try to open a connection.
     fn wake_next(&self) {
-        while let Some(it) = self.next_waiter() {
-            if it.sender.send(None).is_ok() {
+        while let Some(waiter) = self.next_waiter() {
+            if waiter.sender.send(None).is_ok() {
                 return;
             }
         }
     }
 
-    /// Whether anybody waits for a connection.
+    /// Returns true if any caller waits for a connection.
     fn has_waiters(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|it| !it.sender.is_closed());
+        waiting.retain(|w| !w.sender.is_closed());
         !waiting.is_empty()
     }
 
@@ -268,70 +274,73 @@
         (!waiting.is_empty()).then(|| waiting.remove(0))
     }
 
-    /// Who gets a connection of an owner: of those of the first one's priority the first that can use it, unless others
-    /// went before the first one too often. None if the first one can't use it.
+    /// Removes and returns the waiter that gets a connection of `owner`: the first one that can use the connection among
+    /// those with the priority of the queue's head.
+    ///
+    /// Once the head was bypassed [`MAX_BYPASSES`] times, returns `None` unless the head itself can use the connection.
     fn next_waiter_for(&self, owner: &Owner) -> Option<Waiter> {
         let mut waiting = self.waiting.borrow_mut();
         let first = waiting.first()?;
-        let fits = |it: &Waiter| it.owner.as_ref().is_none_or(|it| it == owner);
-        let rivals = if first.bypassed < MAX_BYPASSES { waiting.len() } else { 1 };
-        let at = waiting[..rivals].iter().position(|it| it.priority == first.priority && fits(it))?;
-        if at > 0 {
+        let matches = |w: &Waiter| w.owner.as_ref().is_none_or(|required| required == owner);
+        let candidates = if first.bypassed < MAX_BYPASSES { waiting.len() } else { 1 };
+        let index = waiting[..candidates].iter().position(|w| w.priority == first.priority && matches(w))?;
+        if index > 0 {
             waiting[0].bypassed += 1;
         }
-        Some(waiting.remove(at))
+        Some(waiting.remove(index))
     }
 }
 
-/// A place among those that wait. It is given back by those that have stopped waiting, also where they are dropped; what
-/// came for them goes to the next.
+/// Guard of a waiter's place in the queue.
+///
+/// When a waiter stops waiting or is dropped, removes it from the queue and passes on what it was sent to the next waiter.
 struct WaitGuard<'a> {
     pool: &'a Pool,
-    got: oneshot::Receiver<Option<PooledConn>>,
+    receiver: oneshot::Receiver<Option<PooledConn>>,
 }
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.got.close();
-        self.pool.waiting.borrow_mut().retain(|it| !it.sender.is_closed());
-        match self.got.try_recv() {
-            Ok(Some(it)) => it.release(),
+        self.receiver.close();
+        self.pool.waiting.borrow_mut().retain(|w| !w.sender.is_closed());
+        match self.receiver.try_recv() {
+            Ok(Some(conn)) => conn.release(),
             Ok(None) => self.pool.wake_next(),
-            // Nothing came, or it was taken.
+            // Nothing was sent, or the waiter has received it.
             Err(_) => {}
         }
     }
 }
 
-/// A connection on loan. Dropped, it is closed.
+/// An acquired connection, which is closed on drop unless it was released.
 pub struct PooledConn {
     pool: Rc<Pool>,
     conn: Option<Conn>,
-    /// Whether the connection went back and stays counted.
+    /// True if the connection was returned to the pool and remains counted as open.
     returned: bool,
-    /// Whether it was opened for this loan.
+    /// True if the connection was opened for this use.
     new: bool,
-    /// Whether a transaction rests on it.
+    /// True if a transaction holds the connection.
     pinned: bool,
 }
 
 impl PooledConn {
-    /// The connection; none only while it is being opened or handed back.
+    /// The connection, or `None` while it is being opened or released.
     pub fn get_mut(&mut self) -> Option<&mut Conn> {
         self.conn.as_mut()
     }
 
-    /// The pool that lends it.
+    /// The pool that the connection belongs to.
     pub fn pool(&self) -> Rc<Pool> {
         self.pool.clone()
     }
 
-    /// Whether the connection was opened for this loan, so that nothing of the past can be wrong with it.
+    /// Returns true if the connection was opened for this use, so that it can't have failed while it was idle.
     pub fn is_new(&self) -> bool {
         self.new
     }
 
-    /// A transaction rests on it until it is given back or closed.
+    /// Counts the connection as held by a transaction until it is released or closed.
     pub fn pin(&mut self) {
         if !std::mem::replace(&mut self.pinned, true) {
             self.pool.pinned.set(self.pool.pinned.get() + 1);
@@ -344,27 +353,27 @@
         }
     }
 
-    /// Gives the connection back for others.
+    /// Passes the connection to the next waiter that can use it, or returns it to the pool.
     pub fn release(self) {
-        let mut lease = self;
-        lease.new = false;
-        lease.unpin();
-        let Some(owner) = lease.conn.as_ref().map(|it| it.owner.clone()) else { return };
-        while let Some(waiter) = lease.pool.next_waiter_for(&owner) {
-            match waiter.sender.send(Some(lease)) {
+        let mut pooled = self;
+        pooled.new = false;
+        pooled.unpin();
+        let Some(owner) = pooled.conn.as_ref().map(|conn| conn.owner.clone()) else { return };
+        while let Some(waiter) = pooled.pool.next_waiter_for(&owner) {
+            match waiter.sender.send(Some(pooled)) {
                 Ok(()) => return,
-                // Whoever has stopped waiting hands it back.
-                Err(Some(it)) => lease = it,
+                // The waiter has stopped waiting.
+                Err(Some(unsent)) => pooled = unsent,
                 Err(None) => return,
             }
         }
-        if lease.pool.has_waiters() {
-            // Closed, it makes room for the first one's.
+        if pooled.pool.has_waiters() {
+            // Dropping the connection closes it, which lets the first waiter open one of its own organisation.
             return;
         }
-        if let Some(conn) = lease.conn.take() {
-            lease.returned = true;
-            lease.pool.idle.borrow_mut().push(Idle { conn, since: Instant::now() });
+        if let Some(conn) = pooled.conn.take() {
+            pooled.returned = true;
+            pooled.pool.idle.borrow_mut().push(Idle { conn, since: Instant::now() });
         }
     }
 }
