--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -1,10 +1,11 @@
-//! Turns at a server that has too much to do, handed out by one instance for all.
+//! Scheduling of statements at an overloaded server by a single instance, the dispatcher.
 //!
-//! Each instance can hold back its own statements only down to one at a time. Seven of them before a server with
-//! two slots still leave five statements in its queue, in order of arrival, and each instance's queue knows
-//! nothing of more urgent work in the others. So where an instance is at its lowest limit, it asks one for a turn
-//! that all agree on by hashing, near the server; statements still go over the own connections. The one that
-//! hands out turns needs no way to the server. If it can't be reached, each orders its own again.
+//! An instance can limit its own statements at a server to one at a time, but not further. With seven instances in front of a
+//! server with two slots, five statements still wait in the server's queue in order of arrival, and no instance's queue takes
+//! account of more urgent statements in the others. Therefore an instance whose limit is at the minimum requests permits from
+//! the dispatcher. All instances select the same one by rendezvous hashing, near the server. Statements still use the
+//! connections of their own instance, so the dispatcher needs no connection to the server. If it can't be reached, each
+//! instance schedules its own statements again.
 
 use {
     crate::{
@@ -21,54 +22,58 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// A statement is slow at a crowded server when it takes this many times what statements take there when it has
-/// no queue: one in twenty takes as long by itself, and with two before it one in three.
+/// Factor over the latency without a queue above which a statement counts as slow at an overloaded server. One statement in
+/// twenty takes that long without a queue, and one in three with two statements ahead.
 const SLOW_FACTOR: Micros = 3;
-/// After this long a turn is taken back from another instance: its statement may wait on a connection that fell
-/// silent, or its word that the turn is over was lost.
+/// Time after which a permit is reclaimed from another instance: its statement may be waiting on a stalled connection, or the
+/// message that releases the permit was lost.
 pub const MAX_PERMIT_TIME: Duration = Duration::from_millis(1_000);
 
-/// A server stays crowded for this long at least, until all that hold their statements back alone have noticed.
+/// Minimum time for which a server counts as overloaded, so that all instances that still limit their statements alone have
+/// noticed.
 const MIN_OVERLOAD_TIME: Duration = Duration::from_millis(1_000);
 
-/// Who hands out turns at a server.
+/// Source of the permits for a server.
 enum Dispatcher {
-    /// Each instance its own.
+    /// Each instance grants permits for its own statements.
     PerInstance,
-    /// This instance, for all.
+    /// This instance grants permits for the statements of all.
     Local,
-    /// Another instance, for all.
+    /// Another instance grants permits for the statements of all.
     Remote(Name),
 }
 
-/// Waits for a turn at a server. Above `slow` microseconds there a statement is slow, if it isn't known what
-/// they take without a queue.
+/// Waits for a permit at a server.
+///
+/// A statement counts as slow after `slow_after` microseconds, unless the server's latency without a queue is known.
 pub async fn acquire_permit(
     inst: &Rc<Instance>,
     up: &Upstream,
     rank: Rank,
-    slow: Micros,
-    until: Instant,
+    slow_after: Micros,
+    deadline: Instant,
 ) -> PermitOutcome {
-    let turn = match dispatcher(inst, up) {
-        Dispatcher::PerInstance => up.permits.acquire(rank, None, until).await,
-        Dispatcher::Local => up.shared_permits.acquire(rank, Some(slow_threshold(up, slow)), until).await,
+    let outcome = match dispatcher(inst, up) {
+        Dispatcher::PerInstance => up.permits.acquire(rank, None, deadline).await,
+        Dispatcher::Local => {
+            up.shared_permits.acquire(rank, Some(slow_threshold(up, slow_after)), deadline).await
+        }
         Dispatcher::Remote(name) => {
-            match request_permit(inst, up, &name, rank, slow_threshold(up, slow), until).await {
-                Some(it) => it,
+            match request_permit(inst, up, &name, rank, slow_threshold(up, slow_after), deadline).await {
+                Some(outcome) => outcome,
                 None => {
                     up.back_off_dispatcher(inst.now());
-                    up.permits.acquire(rank, None, until).await
+                    up.permits.acquire(rank, None, deadline).await
                 }
             }
         }
     };
-    inst.counters.add(Count::PermitsRefused, u64::from(matches!(turn, PermitOutcome::Refused)));
+    inst.counters.add(Count::PermitsRefused, u64::from(matches!(outcome, PermitOutcome::Refused)));
     count_min_share_permits(inst, up);
-    turn
+    outcome
 }
 
-/// Counts turns that went to kinds of work by their minimum.
+/// Counts permits granted by the minimum share of a kind of work.
 pub fn count_min_share_permits(inst: &Instance, up: &Upstream) {
     inst.counters.add(
         Count::PermitsLifted,
@@ -95,12 +100,12 @@
     }
 }
 
-/// Tells those that have connections to a server that turns come from this instance: as the server's queue gets
-/// shorter, they wouldn't find out.
+/// Notifies the other homes of a server that this instance grants the permits for the server. They wouldn't notice the
+/// overload themselves, because the server's queue becomes shorter.
 pub fn announce_overload(inst: &Rc<Instance>, up: &Upstream) {
     let server = up.entry().id.clone();
     for name in up.ranked_peers.borrow().iter().take(up.home_count.get()) {
-        let Some(peer) = inst.peer(name).filter(|it| it.is_usable(inst.now())) else { continue };
+        let Some(peer) = inst.peer(name).filter(|p| p.is_usable(inst.now())) else { continue };
         let (inst, server) = (inst.clone(), server.clone());
         tokio::task::spawn_local(async move {
             if let Some(link) = peer.link(&inst).await {
@@ -110,53 +115,54 @@
     }
 }
 
-/// Nobody has to wait at the server any longer.
+/// Ends the overload of a server at which no statement has to wait any longer, after [`MIN_OVERLOAD_TIME`] at the earliest.
 fn clear_overload(inst: &Instance, up: &Upstream) {
-    let over = |since: Micros| inst.now() - since >= micros(MIN_OVERLOAD_TIME);
-    if up.overloaded_since.get().is_some_and(over) {
+    let elapsed = |since: Micros| inst.now() - since >= micros(MIN_OVERLOAD_TIME);
+    if up.overloaded_since.get().is_some_and(elapsed) {
         up.overloaded_since.set(None);
         up.permits.reset_limit();
         log::info!(server = up.entry().id.as_str(); "no longer crowded");
     }
 }
 
-fn slow_threshold(up: &Upstream, slow: Micros) -> Micros {
+fn slow_threshold(up: &Upstream, default: Micros) -> Micros {
     match up.base_latency.get().get() {
-        0 => slow,
+        0 => default,
         base => base * SLOW_FACTOR,
     }
 }
 
-/// Asks another instance for a turn; none if it can't be asked.
+/// Requests a permit from another instance. Returns `None` if the instance can't be reached.
 async fn request_permit(
     inst: &Rc<Instance>,
     up: &Upstream,
     name: &Name,
     rank: Rank,
-    slow: Micros,
-    until: Instant,
+    slow_after: Micros,
+    deadline: Instant,
 ) -> Option<PermitOutcome> {
-    let peer = inst.peer(name).filter(|it| it.is_usable(inst.now()))?;
+    let peer = inst.peer(name).filter(|p| p.is_usable(inst.now()))?;
     let link = peer.link(inst).await?;
-    let wait_ms = until.saturating_duration_since(Instant::now()).as_millis() as u32;
+    let wait_ms = deadline.saturating_duration_since(Instant::now()).as_millis() as u32;
     let rank = Rank { aim: rank.aim.saturating_sub(inst.now()), ..rank };
-    let ask = Request::Permit(PermitRequest { server: up.entry().id.clone(), rank, slow, wait_ms });
-    let told = timeout_at(until + RELAY_DEADLINE_MARGIN, link.ask(ask)).await;
-    let (turn, crowded) = match told {
-        Ok(Response::Permit { permit: turn, overloaded: crowded }) => {
-            (PermitOutcome::Granted(Permit::remote(link, turn)), crowded)
+    let request =
+        Request::Permit(PermitRequest { server: up.entry().id.clone(), rank, slow: slow_after, wait_ms });
+    let response = timeout_at(deadline + RELAY_DEADLINE_MARGIN, link.ask(request)).await;
+    let (outcome, overloaded) = match response {
+        Ok(Response::Permit { permit, overloaded }) => {
+            (PermitOutcome::Granted(Permit::remote(link, permit)), overloaded)
         }
         Ok(Response::Refused) => (PermitOutcome::Refused, true),
         Ok(Response::Busy) => (PermitOutcome::TimedOut, true),
-        // The other one answers in time if it is there.
+        // A dispatcher that is reachable answers in time.
         Err(_) => {
             up.back_off_dispatcher(inst.now());
             (PermitOutcome::TimedOut, true)
         }
         Ok(_) => return None,
     };
-    if !crowded {
+    if !overloaded {
         clear_overload(inst, up);
     }
-    Some(turn)
+    Some(outcome)
 }
--- a/crates/engine/src/permit_queue.rs
+++ b/crates/engine/src/permit_queue.rs
@@ -1,4 +1,4 @@
-//! Turns of statements at one server.
+//! Queue of statements that wait for a permit to run at a server.
 
 use {
     crate::{
@@ -14,99 +14,108 @@
     },
 };
 
-/// Hands out turns.
+/// Grants permits in the order of the scheduler.
 pub struct PermitQueue {
     clock: Clock,
-    turns: RefCell<Turns<oneshot::Sender<Permit>>>,
+    scheduler: RefCell<Turns<oneshot::Sender<Permit>>>,
 }
 
-/// What becomes of a statement that wants a turn.
+/// Outcome of a request for a permit.
 pub enum PermitOutcome {
-    /// It may run.
+    /// The statement may run.
     Granted(Permit),
-    /// The wait takes, or would take, too much of the time that is left.
+    /// The wait takes, or is expected to take, too much of the statement's remaining time.
     Refused,
-    /// There was no turn in time.
+    /// No permit was granted before the deadline.
     TimedOut,
 }
 
 impl PermitQueue {
-    /// Nobody runs or waits.
+    /// Creates an empty queue.
     pub fn new(clock: Clock) -> Rc<PermitQueue> {
-        Rc::new(PermitQueue { clock, turns: RefCell::default() })
+        Rc::new(PermitQueue { clock, scheduler: RefCell::default() })
     }
 
-    /// Statements that run or wait.
+    /// Number of statements that run or wait.
     pub fn in_flight(&self) -> usize {
-        let turns = self.turns.borrow();
-        turns.running() + turns.waiting()
+        let scheduler = self.scheduler.borrow();
+        scheduler.running() + scheduler.waiting()
     }
 
-    /// How busy it is, for a log line.
+    /// Numbers of statements and the limit as text for a log line.
     pub fn summary(&self) -> String {
-        let turns = self.turns.borrow();
-        let (running, waiting, owners) = (turns.running(), turns.waiting(), turns.owners());
-        format!("running={running} waiting={waiting} owners={owners} limit={}", turns.limit())
+        let scheduler = self.scheduler.borrow();
+        let (running, waiting, owners) = (scheduler.running(), scheduler.waiting(), scheduler.owners());
+        format!("running={running} waiting={waiting} owners={owners} limit={}", scheduler.limit())
     }
 
-    /// Turns that went to kinds of work by their minimum, since the last look.
+    /// Number of permits granted by the minimum share of a kind of work, since the last call.
     pub fn take_min_share_permits(&self) -> u64 {
-        self.turns.borrow_mut().take_lifted()
+        self.scheduler.borrow_mut().take_lifted()
     }
 
-    /// Whether a statement could run at once.
+    /// Returns true if a statement would get a permit immediately.
     pub fn has_free_permit(&self) -> bool {
-        self.turns.borrow().is_free()
+        self.scheduler.borrow().is_free()
     }
 
-    /// Whether the server has a queue, as far as recent statements show.
+    /// Returns true if the limit is reduced: recent statements show that the server has a queue.
     pub fn is_limit_reduced(&self) -> bool {
-        self.turns.borrow().is_shrunk()
+        self.scheduler.borrow().is_shrunk()
     }
 
-    /// Whether the limit is at its lowest.
+    /// Returns true if the limit is at its minimum.
     pub fn is_limit_min(&self) -> bool {
-        self.turns.borrow().is_lowest()
+        self.scheduler.borrow().is_lowest()
     }
 
-    /// Whether somebody had to wait lately.
+    /// Returns true if a statement had to wait recently.
     pub fn is_overloaded(&self) -> bool {
-        self.turns.borrow().is_crowded(self.clock.now())
+        self.scheduler.borrow().is_crowded(self.clock.now())
     }
 
-    /// Sets the highest limit.
-    pub fn set_max_limit(&self, most: usize) {
-        self.turns.borrow_mut().set_most(most);
+    /// Sets the maximum of the limit.
+    pub fn set_max_limit(&self, max: usize) {
+        self.scheduler.borrow_mut().set_most(max);
     }
 
-    /// Forgets what was learned of the server.
+    /// Resets the limit to its initial value.
     pub fn reset_limit(self: &Rc<Self>) {
-        self.turns.borrow_mut().reset();
+        self.scheduler.borrow_mut().reset();
         self.grant_waiting(self.clock.now());
     }
 
-    /// Waits for a turn. If it says when it is slow, the turnstile learns from how long it is held, if its statement ran.
-    pub async fn acquire(self: &Rc<Self>, rank: Rank, slow: Option<Micros>, until: Instant) -> PermitOutcome {
+    /// Waits for a permit.
+    ///
+    /// If `slow_after` is given, in microseconds, the limit is adjusted by the time for which the permit is held, provided that
+    /// its statement was sent.
+    pub async fn acquire(
+        self: &Rc<Self>,
+        rank: Rank,
+        slow_after: Option<Micros>,
+        deadline: Instant,
+    ) -> PermitOutcome {
         let now = self.clock.now();
-        if self.turns.borrow_mut().refuses(rank, now) {
+        if self.scheduler.borrow_mut().refuses(rank, now) {
             return PermitOutcome::Refused;
         }
-        if self.turns.borrow_mut().start() {
-            return PermitOutcome::Granted(self.new_permit(slow));
+        if self.scheduler.borrow_mut().start() {
+            return PermitOutcome::Granted(self.new_permit(slow_after));
         }
-        let _place = WaitGuard(self);
-        let (turn, got) = oneshot::channel();
-        self.turns.borrow_mut().wait(rank, now, turn);
-        // What can't be in time any longer is told so while its caller can still try elsewhere.
-        let left = rank.aim.checked_sub(now).filter(|it| *it > 0 && !rank.pinned);
-        let aim = left.map(|it| Instant::now() + Duration::from_micros(it)).filter(|it| *it < until);
-        match timeout_at(aim.unwrap_or(until), got).await {
-            Ok(Ok(mut it)) => {
-                it.set_slow_after(slow, self.clock.now());
-                PermitOutcome::Granted(it)
+        let _guard = WaitGuard(self);
+        let (sender, receiver) = oneshot::channel();
+        self.scheduler.borrow_mut().wait(rank, now, sender);
+        // A statement that can't finish in time any longer is refused while its caller can still try another server.
+        let left = rank.aim.checked_sub(now).filter(|left| *left > 0 && !rank.pinned);
+        let refuse_at =
+            left.map(|left| Instant::now() + Duration::from_micros(left)).filter(|at| *at < deadline);
+        match timeout_at(refuse_at.unwrap_or(deadline), receiver).await {
+            Ok(Ok(mut permit)) => {
+                permit.set_slow_after(slow_after, self.clock.now());
+                PermitOutcome::Granted(permit)
             }
             Ok(Err(_)) | Err(_) => {
-                if aim.is_some() {
+                if refuse_at.is_some() {
                     PermitOutcome::Refused
                 } else {
                     PermitOutcome::TimedOut
@@ -115,70 +124,70 @@
         }
     }
 
-    /// A statement was answered in good time, or it was slow or refused.
-    pub fn adjust_limit(self: &Rc<Self>, quick: bool) {
-        self.turns.borrow_mut().learn(quick);
+    /// Adjusts the limit after a statement that was answered fast, or that was slow or refused.
+    pub fn adjust_limit(self: &Rc<Self>, fast: bool) {
+        self.scheduler.borrow_mut().learn(fast);
         self.grant_waiting(self.clock.now());
     }
 
-    fn new_permit(self: &Rc<Self>, slow: Option<Micros>) -> Permit {
-        let mut it = Permit(PermitSource::Local { of: self.clone(), watch: None, ran: false });
-        it.set_slow_after(slow, self.clock.now());
-        it
+    fn new_permit(self: &Rc<Self>, slow_after: Option<Micros>) -> Permit {
+        let mut permit = Permit(PermitSource::Local { queue: self.clone(), timer: None, sent: false });
+        permit.set_slow_after(slow_after, self.clock.now());
+        permit
     }
 
-    /// Hands free turns to those that wait.
+    /// Grants free permits to waiting statements.
     fn grant_waiting(self: &Rc<Self>, now: Micros) {
         loop {
-            let next = self.turns.borrow_mut().next(now);
-            let Some(it) = next else { return };
-            // Whoever has stopped waiting drops the turn, which passes it on.
-            drop(it.send(self.new_permit(None)));
+            let next = self.scheduler.borrow_mut().next(now);
+            let Some(waiter) = next else { return };
+            // If the waiter has stopped waiting, the permit is dropped, which grants it to the next one.
+            drop(waiter.send(self.new_permit(None)));
         }
     }
 }
 
-/// A place among those that wait. It is given back by those that have stopped waiting, also where they are dropped.
+/// Guard of a waiter's place in the queue, which removes waiters that have stopped waiting or were dropped.
 struct WaitGuard<'a>(&'a PermitQueue);
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.0.turns.borrow_mut().retain(|it| !it.is_closed());
+        self.0.scheduler.borrow_mut().retain(|w| !w.is_closed());
     }
 }
 
-/// A turn. Dropped, it goes to the next.
+/// Permission to run a statement at a server. Dropping the permit frees it for the next statement.
 pub struct Permit(PermitSource);
 
 enum PermitSource {
-    /// One of this instance's turnstiles.
+    /// Granted by a queue of this instance.
     Local {
-        of: Rc<PermitQueue>,
-        /// Since when it is held, and after how long that is slow.
-        watch: Option<(Micros, Micros)>,
-        /// Whether its statement went to the server, as far as is known.
-        ran: bool,
+        queue: Rc<PermitQueue>,
+        /// Time at which the permit was granted, and the time after which a statement is slow, in microseconds.
+        timer: Option<(Micros, Micros)>,
+        /// True if the statement was sent to the server, as far as is known.
+        sent: bool,
     },
-    /// Another instance's.
-    Remote { link: Rc<Link>, turn: u64 },
+    /// Granted by another instance, under the id `permit`.
+    Remote { link: Rc<Link>, permit: u64 },
 }
 
 impl Permit {
-    /// A turn that another instance has handed out.
-    pub fn remote(link: Rc<Link>, turn: u64) -> Permit {
-        Permit(PermitSource::Remote { link, turn })
+    /// Creates a permit that another instance has granted under the id `permit`.
+    pub fn remote(link: Rc<Link>, permit: u64) -> Permit {
+        Permit(PermitSource::Remote { link, permit })
     }
 
-    /// Its statement goes to the server.
+    /// Records that the statement is sent to the server.
     pub fn mark_sent(&mut self) {
-        if let PermitSource::Local { ran, .. } = &mut self.0 {
-            *ran = true;
+        if let PermitSource::Local { sent, .. } = &mut self.0 {
+            *sent = true;
         }
     }
 
-    fn set_slow_after(&mut self, slow: Option<Micros>, now: Micros) {
-        if let PermitSource::Local { watch, .. } = &mut self.0 {
-            *watch = slow.map(|it| (now, it));
+    fn set_slow_after(&mut self, slow_after: Option<Micros>, now: Micros) {
+        if let PermitSource::Local { timer, .. } = &mut self.0 {
+            *timer = slow_after.map(|after| (now, after));
         }
     }
 }
@@ -186,17 +195,17 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         match &self.0 {
-            PermitSource::Local { of, watch, ran } => {
-                let now = of.clock.now();
-                let mut turns = of.turns.borrow_mut();
-                turns.end();
-                if let Some((since, slow)) = watch.filter(|_| *ran) {
-                    turns.learn(now - since <= slow);
+            PermitSource::Local { queue, timer, sent } => {
+                let now = queue.clock.now();
+                let mut scheduler = queue.scheduler.borrow_mut();
+                scheduler.end();
+                if let Some((granted_at, slow_after)) = timer.filter(|_| *sent) {
+                    scheduler.learn(now - granted_at <= slow_after);
                 }
-                drop(turns);
-                of.grant_waiting(now);
+                drop(scheduler);
+                queue.grant_waiting(now);
             }
-            PermitSource::Remote { link, turn } => link.tell(Message::ReleasePermit { permit: *turn }),
+            PermitSource::Remote { link, permit } => link.tell(Message::ReleasePermit { permit: *permit }),
         }
     }
 }
