--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -1,5 +1,5 @@
-//! A way to a server for one statement or one transaction: a connection of this instance, or another
-//! instance that runs it.
+//! Channel to a server for a statement or a transaction: a connection of this instance, or a stream through another instance
+//! that runs the statements.
 
 use {
     crate::{
@@ -26,68 +26,68 @@
     tokio::time::{Instant, timeout, timeout_at},
 };
 
-/// What is sent, and the state of the session it is for.
+/// A command and the session state that it needs.
 #[derive(Clone, Copy)]
 pub struct ChannelRequest<'a> {
-    /// The session's values; none where they don't matter.
+    /// The session's values, or `None` if they don't matter.
     pub values: Option<&'a SessionValues>,
-    /// The named statement that it runs.
+    /// The prepared statement that the command executes.
     pub named: Option<&'a Prepared>,
-    /// What is sent.
+    /// The command to send.
     pub command: CommandRef<'a>,
-    /// Its rank among those that wait for a turn; none for orders that don't wait.
+    /// Rank in the queue for a permit, or `None` for orders, which need no permit.
     pub rank: Option<Rank>,
-    /// A statement that takes longer is slow, in microseconds.
+    /// Latency above which a statement counts as slow, in microseconds.
     pub slow_after: Micros,
-    /// A statement that takes longer may wait on a connection that fell silent.
+    /// Duration after which a statement may be waiting on a stalled connection.
     pub stall_timeout: Duration,
-    /// When nobody waits any longer.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// Learns how far it comes; none where nobody may leave.
+    /// Tracks the progress of the command, or `None` if the caller can't disconnect.
     pub progress: Option<&'a Progress>,
 }
 
-/// What is sent to a server.
+/// Borrowed form of a [`Command`].
 #[derive(Clone, Copy)]
 pub enum CommandRef<'a> {
     /// A caller's statement.
     Statement(Forward<'a>),
-    /// An order, and the position that the server's log has to hold.
+    /// An order, and the position that the server's log has to have reached.
     Order(&'a Order, Option<LogPosition>),
 }
 
-/// Why there is no answer.
+/// Errors of running a command. The texts of some variants are sent to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum RunError {
-    /// Nothing was sent.
+    /// The command was not sent.
     #[snafu(display("not sent: {reason}"))]
     NotSent {
-        /// Why.
+        /// The cause.
         reason: String,
     },
-    /// Nothing was sent: no connection was free.
+    /// The command was not sent because no connection was available in time.
     #[snafu(display("no connection is free"))]
     Busy,
-    /// Nothing was sent: the server has too much to do to answer in time.
+    /// The command was not sent because the server is too busy to answer in time.
     #[snafu(display("the server has too much to do to answer in time"))]
     Refused,
-    /// Nothing was sent: nobody listens at the server's address.
-    #[snafu(display("nobody listens at the server's address"))]
+    /// The command was not sent because the server's address refuses connections.
+    #[snafu(display("the server's address refuses connections"))]
     Gone,
-    /// There is no answer in time; it may have run.
+    /// No answer arrived in time; the command may have run.
     #[snafu(display("no answer in time"))]
     Late,
-    /// It may have run.
+    /// The connection failed after the command was sent; the command may have run.
     #[snafu(display("sent, and not answered: {reason}"))]
     Broken {
-        /// Why.
+        /// The cause.
         reason: String,
     },
 }
 
 impl From<RunError> for Response {
-    fn from(it: RunError) -> Response {
-        match it {
+    fn from(e: RunError) -> Response {
+        match e {
             RunError::NotSent { reason } => Response::NotSent(reason),
             RunError::Busy => Response::Busy,
             RunError::Refused => Response::Refused,
@@ -98,41 +98,41 @@
     }
 }
 
-/// A way to a server. Dropped, an open transaction on it is rolled back.
+/// A channel to a server. Dropping it rolls back its open transaction.
 pub enum Channel {
-    /// A connection of this instance, and a turn for the first statement on it.
+    /// A connection of this instance, and a permit for the first statement.
     Direct(Direct),
-    /// Another instance's.
+    /// A stream through another instance.
     Relayed(Relayed),
 }
 
-/// A connection of this instance.
+/// A channel over a connection of this instance.
 pub struct Direct {
     /// The connection.
     pub conn: PooledConn,
-    /// Its server.
+    /// The server.
     pub server: Rc<Upstream>,
-    /// A turn that was taken before there was a connection.
+    /// The permit that was acquired before the connection.
     pub permit: Option<Permit>,
-    /// Whether the last statement was sent.
+    /// True if the last command was sent.
     sent: bool,
 }
 
-/// Why there is no way over a connection of this instance.
+/// Errors of opening a channel over a connection of this instance.
 pub enum DirectError {
-    /// The server has too much to do to answer in time.
+    /// The server is too busy to answer in time.
     Refused,
-    /// There is no turn, or no connection, in time.
+    /// No permit, or no connection, was available before the deadline.
     TimedOut(Wait),
-    /// The server has no connection to spare, and this instance has none.
+    /// The server's connection limit is reached, and this instance has no connection to the server.
     Full,
     /// The server can't be reached.
     Unreachable(ConnError),
 }
 
 impl From<PoolError> for DirectError {
-    fn from(it: PoolError) -> DirectError {
-        match it {
+    fn from(e: PoolError) -> DirectError {
+        match e {
             PoolError::Busy => DirectError::TimedOut(Wait::Connection),
             PoolError::Full => DirectError::Full,
             PoolError::Unreachable(e) => DirectError::Unreachable(e),
@@ -140,43 +140,60 @@
     }
 }
 
-/// Waits for a turn where there is a rank.
+/// Waits for a permit if there is a rank.
 async fn acquire_ranked_permit(
     inst: &Rc<Instance>,
     up: &Upstream,
     rank: Option<Rank>,
-    slow: Micros,
-    until: Instant,
+    slow_after: Micros,
+    deadline: Instant,
 ) -> Result<Option<Permit>, DirectError> {
     let Some(rank) = rank else { return Ok(None) };
-    match acquire_permit(inst, up, rank, slow, until).await {
-        PermitOutcome::Granted(it) => Ok(Some(it)),
+    match acquire_permit(inst, up, rank, slow_after, deadline).await {
+        PermitOutcome::Granted(permit) => Ok(Some(permit)),
         PermitOutcome::Refused => Err(DirectError::Refused),
         PermitOutcome::TimedOut => Err(DirectError::TimedOut(Wait::Turn)),
     }
 }
 
-/// A stream at another instance.
+/// A channel through another instance, as a stream of its link.
 pub struct Relayed {
     peer: Name,
     link: Rc<Link>,
     stream: u64,
     server: ServerProcess,
     owner: Owner,
-    /// When a statement that waits there for a connection is to be given up.
-    until: Instant,
+    /// Time until which a statement may wait for a connection at the other instance.
+    deadline: Instant,
+    /// True if a transaction is open on the stream.
     pinned: bool,
-    /// Whether the server had a queue at the last answer.
+    /// True if the server had a queue at the last answer.
     queued: bool,
-    /// Whether an answer is owed, after which a transaction may rest on it.
-    asked: bool,
+    /// True if a request is in flight, which may open a transaction.
+    in_flight: bool,
 }
 
 impl Relayed {
-    /// A stream over a link; nothing is sent yet.
-    pub fn new(peer: Name, link: Rc<Link>, server: ServerProcess, owner: Owner, until: Instant) -> Relayed {
+    /// Creates a stream over a link without sending anything.
+    pub fn new(
+        peer: Name,
+        link: Rc<Link>,
+        server: ServerProcess,
+        owner: Owner,
+        deadline: Instant,
+    ) -> Relayed {
         let stream = link.stream();
-        Relayed { peer, link, stream, server, owner, until, pinned: false, queued: false, asked: false }
+        Relayed {
+            peer,
+            link,
+            stream,
+            server,
+            owner,
+            deadline,
+            pinned: false,
+            queued: false,
+            in_flight: false,
+        }
     }
 
     fn set_pinned(&mut self, pinned: bool) {
@@ -188,30 +205,32 @@
         self.pinned = pinned;
     }
 
-    /// Asks the other instance. Where the caller leaves meanwhile, that one is told, and answers all the same: what it has
-    /// sent is left to end.
-    async fn ask(&self, ask: Request, progress: Option<&Progress>) -> Response {
-        let question = self.link.put(ask);
-        let Some(progress) = progress else { return question.answer().await };
+    /// Sends a request to the other instance and waits for the response.
+    ///
+    /// If the caller disconnects meanwhile, cancels the request and still waits for the response: the other instance doesn't
+    /// interrupt a command that it has sent to the server.
+    async fn request(&self, request: Request, progress: Option<&Progress>) -> Response {
+        let pending = self.link.put(request);
+        let Some(progress) = progress else { return pending.answer().await };
         progress.relay_started();
-        let id = question.id();
-        let answer = question.answer();
+        let id = pending.id();
+        let answer = pending.answer();
         tokio::pin!(answer);
-        let told = tokio::select! {
+        let response = tokio::select! {
             biased;
-            it = &mut answer => it,
+            response = &mut answer => response,
             () = progress.disconnected() => {
                 self.link.cancel(id);
                 answer.await
             }
         };
-        progress.relay_finished(told.may_have_run());
-        told
+        progress.relay_finished(response.may_have_run());
+        response
     }
 
-    async fn run(&mut self, inst: &Instance, it: ChannelRequest<'_>) -> Result<Answer, RunError> {
-        let left = |until: Instant| until.saturating_duration_since(Instant::now()).as_millis() as u32;
-        let what = match it.command {
+    async fn run(&mut self, inst: &Instance, request: ChannelRequest<'_>) -> Result<Answer, RunError> {
+        let left_ms = |end: Instant| end.saturating_duration_since(Instant::now()).as_millis() as u32;
+        let what = match request.command {
             CommandRef::Statement(Forward { id, text, after }) => {
                 let text = match text {
                     Text::Plain(text) | Text::Execute { args: text, .. } => text.clone(),
@@ -224,19 +243,19 @@
             stream: self.stream,
             pinned: self.pinned,
             server: self.server.clone(),
-            rank: it.rank.map(|it| Rank { aim: it.aim.saturating_sub(inst.now()), ..it }),
-            wait_ms: left(self.until),
-            left_ms: left(it.deadline - RELAY_DEADLINE_MARGIN),
-            slow: it.slow_after,
+            rank: request.rank.map(|rank| Rank { aim: rank.aim.saturating_sub(inst.now()), ..rank }),
+            wait_ms: left_ms(self.deadline),
+            left_ms: left_ms(request.deadline - RELAY_DEADLINE_MARGIN),
+            slow: request.slow_after,
             owner: self.owner.clone(),
-            values: it.values.map(|it| it.to_vec()).unwrap_or_default(),
-            named: it.named.cloned(),
+            values: request.values.map(|values| values.to_vec()).unwrap_or_default(),
+            named: request.named.cloned(),
             what,
         };
-        self.asked = true;
-        let told = self.ask(Request::Run(Box::new(run)), it.progress).await;
-        self.asked = false;
-        match told {
+        self.in_flight = true;
+        let response = self.request(Request::Run(Box::new(run)), request.progress).await;
+        self.in_flight = false;
+        match response {
             Response::Answer { answer, queued } => {
                 self.queued = queued;
                 self.set_pinned(answer.txn != TxnState::Idle);
@@ -263,7 +282,7 @@
 
 impl Drop for Relayed {
     fn drop(&mut self) {
-        if self.pinned || self.asked {
+        if self.pinned || self.in_flight {
             self.link.drop_stream(self.stream);
         }
         self.set_pinned(false);
@@ -271,47 +290,51 @@
 }
 
 impl Channel {
-    /// Sends and waits for the answer.
-    pub async fn run(&mut self, inst: &Rc<Instance>, it: ChannelRequest<'_>) -> Result<Answer, RunError> {
-        let end = it.deadline;
+    /// Sends a command and waits for the answer until the request's deadline.
+    pub async fn run(
+        &mut self,
+        inst: &Rc<Instance>,
+        request: ChannelRequest<'_>,
+    ) -> Result<Answer, RunError> {
+        let deadline = request.deadline;
         match self {
-            Channel::Direct(direct) => match timeout_at(end, direct.run(inst, it)).await {
-                Ok(it) => it,
+            Channel::Direct(direct) => match timeout_at(deadline, direct.run(inst, request)).await {
+                Ok(result) => result,
                 Err(_) if direct.sent => Err(RunError::Late),
                 Err(_) => Err(RunError::Busy),
             },
             Channel::Relayed(relayed) => {
-                timeout_at(end, relayed.run(inst, it)).await.unwrap_or(Err(RunError::Late))
+                timeout_at(deadline, relayed.run(inst, request)).await.unwrap_or(Err(RunError::Late))
             }
         }
     }
 
-    /// A transaction rests on it from now on.
+    /// Counts the connection as held by a transaction from now on.
     pub fn pin(&mut self) {
         match self {
             Channel::Direct(direct) => direct.conn.pin(),
-            // The other instance knows.
+            // The other instance pins its connection by the state of the transaction.
             Channel::Relayed(_) => {}
         }
     }
 
-    /// The instance that it goes through, if it does.
+    /// The instance that the channel goes through, or `None` for a direct channel.
     pub fn peer(&self) -> Option<&Name> {
         match self {
             Channel::Direct(_) => None,
-            Channel::Relayed(it) => Some(&it.peer),
+            Channel::Relayed(relayed) => Some(&relayed.peer),
         }
     }
 
-    /// Whether its server has a queue.
+    /// Returns true if the server has a queue.
     pub fn has_queue(&self) -> bool {
         match self {
-            Channel::Direct(it) => it.server.has_queue(),
-            Channel::Relayed(it) => it.queued,
+            Channel::Direct(direct) => direct.server.has_queue(),
+            Channel::Relayed(relayed) => relayed.queued,
         }
     }
 
-    /// Gives the connection back for others; nothing may be open on it.
+    /// Releases the connection. No transaction may be open on the channel.
     pub fn release(self) {
         match self {
             Channel::Direct(direct) => direct.conn.release(),
@@ -319,7 +342,7 @@
         }
     }
 
-    /// Forgets what was prepared: the server doesn't know it any longer.
+    /// Clears the list of prepared statements, which the server no longer has.
     pub fn clear_prepared(&mut self) {
         if let Channel::Direct(direct) = self
             && let Some(conn) = direct.conn.get_mut()
@@ -330,112 +353,114 @@
 }
 
 impl Direct {
-    /// A turn where there is a rank, and then a connection: those that wait for turns are in order, those that wait
-    /// for connections in the order of arrival.
+    /// Acquires a permit, if there is a rank, and then a connection. The permit comes first because waiters for permits are
+    /// ordered by rank, but waiters for connections only by priority and arrival.
     pub async fn open(
         inst: &Rc<Instance>,
         up: &Rc<Upstream>,
         rank: Option<Rank>,
-        slow: Micros,
-        want: ConnRequest,
+        slow_after: Micros,
+        request: ConnRequest,
     ) -> Result<Direct, DirectError> {
-        let permit = acquire_ranked_permit(inst, up, rank, slow, want.deadline).await?;
-        let lease = up.pool.acquire(inst, &up.entry(), want).await?;
-        Ok(Direct { conn: lease, server: up.clone(), permit, sent: false })
+        let permit = acquire_ranked_permit(inst, up, rank, slow_after, request.deadline).await?;
+        let conn = up.pool.acquire(inst, &up.entry(), request).await?;
+        Ok(Direct { conn, server: up.clone(), permit, sent: false })
     }
 
-    async fn run(&mut self, inst: &Rc<Instance>, it: ChannelRequest<'_>) -> Result<Answer, RunError> {
+    async fn run(&mut self, inst: &Rc<Instance>, request: ChannelRequest<'_>) -> Result<Answer, RunError> {
         self.sent = false;
-        let mut permit = match (self.permit.take(), it.rank) {
-            (Some(it), _) => Some(it),
+        let mut permit = match (self.permit.take(), request.rank) {
+            (Some(permit), _) => Some(permit),
             (None, Some(rank)) => {
-                match acquire_permit(inst, &self.server, rank, it.slow_after, it.deadline).await {
-                    PermitOutcome::Granted(it) => Some(it),
+                match acquire_permit(inst, &self.server, rank, request.slow_after, request.deadline).await {
+                    PermitOutcome::Granted(permit) => Some(permit),
                     PermitOutcome::Refused => return Err(RunError::Refused),
                     PermitOutcome::TimedOut => return Err(RunError::Busy),
                 }
             }
             (None, None) => None,
         };
-        if let Some(it) = &mut permit {
-            it.mark_sent();
+        if let Some(permit) = &mut permit {
+            permit.mark_sent();
         }
-        let (sent, pool) = (Instant::now(), self.conn.pool());
-        let work = run_on(inst, &mut self.conn, it, &mut self.sent);
+        let (started, pool) = (Instant::now(), self.conn.pool());
+        let work = run_on(inst, &mut self.conn, request, &mut self.sent);
         tokio::pin!(work);
-        if let Ok(it) = timeout(it.stall_timeout, &mut work).await {
-            return it;
+        if let Ok(result) = timeout(request.stall_timeout, &mut work).await {
+            return result;
         }
+        // The connection may be stalled: frees the permit and closes connections that may be as dead.
         drop(permit);
-        pool.close_idle_before(sent);
+        pool.close_idle_before(started);
         work.await
     }
 }
 
-/// Runs a statement on a connection; says in `sent` when the server may have it.
+/// Runs a command on a connection. Sets `sent` before the server may receive the command.
 async fn run_on(
     inst: &Instance,
-    lease: &mut PooledConn,
-    it: ChannelRequest<'_>,
+    pooled: &mut PooledConn,
+    request: ChannelRequest<'_>,
     sent: &mut bool,
 ) -> Result<Answer, RunError> {
-    // A connection that is being prepared is of use only when that has ended.
-    if let Some(progress) = it.progress {
+    // Set before the session state is applied, because a connection is unusable until that has finished.
+    if let Some(progress) = request.progress {
         progress.set_sent();
     }
-    if let Some(values) = it.values
-        && !apply_session_state(inst, lease, values, it.named).await
+    if let Some(values) = request.values
+        && !apply_session_state(inst, pooled, values, request.named).await
     {
-        return Err(RunError::NotSent { reason: "the connection is of no use".to_owned() });
+        return Err(RunError::NotSent { reason: "the session state could not be applied".to_owned() });
     }
     let dialect = inst.adapters.protocol.as_ref();
     let mut out = BytesMut::new();
-    match it.command {
+    match request.command {
         CommandRef::Statement(forward) => dialect.encode_statement(forward, &mut out),
         CommandRef::Order(order, after) => dialect.encode_order(order, after, &mut out),
     }
     let broken = |reason: &dyn ToString| RunError::Broken { reason: reason.to_string() };
-    let conn = lease.get_mut().ok_or_else(|| broken(&"the connection was given back"))?;
+    let conn = pooled.get_mut().ok_or_else(|| broken(&"the connection was given back"))?;
     *sent = true;
     conn.send(&out).await.map_err(|e| broken(&e))?;
     conn.next_answer(dialect).await.map_err(|e| broken(&e))
 }
 
-/// Brings a connection into a session's state. False when that failed and the connection is of no use.
+/// Applies a session's state to a connection: its values, and the named statement if it isn't prepared yet. Returns false if
+/// that failed, which makes the connection unusable.
 async fn apply_session_state(
     inst: &Instance,
-    lease: &mut PooledConn,
+    pooled: &mut PooledConn,
     values: &SessionValues,
     named: Option<&Prepared>,
 ) -> bool {
-    let Some(conn) = lease.get_mut() else { return false };
+    let Some(conn) = pooled.get_mut() else { return false };
     let known = conn.values.as_ref();
-    // Values can only be taken away all at once.
-    let extra =
-        |old: &SessionValues| old.iter().any(|it| values.binary_search_by(|new| new.0.cmp(&it.0)).is_err());
+    // Single values can't be unset; a reset removes all of them.
+    let has_extra =
+        |old: &SessionValues| old.iter().any(|v| values.binary_search_by(|new| new.0.cmp(&v.0)).is_err());
     let full = conn.prepared.len() >= MAX_PREPARED && conn.txn == TxnState::Idle;
-    let reset = full || known.is_none_or(extra);
-    let has = |it: &(Name, Name)| !reset && known.is_some_and(|old| old.binary_search(it).is_ok());
+    let reset = full || known.is_none_or(has_extra);
+    let is_set = |v: &(Name, Name)| !reset && known.is_some_and(|old| old.binary_search(v).is_ok());
     let mut orders = Vec::new();
     if reset {
         orders.push(Order::Reset);
     }
-    for it in values.iter().filter(|it| !has(it)) {
-        orders.push(Order::Set { name: it.0.clone(), value: it.1.clone() });
+    for value in values.iter().filter(|v| !is_set(v)) {
+        orders.push(Order::Set { name: value.0.clone(), value: value.1.clone() });
     }
-    let prepare = named.filter(|it| reset || conn.prepared.binary_search(&it.alias).is_err());
-    if let Some(it) = prepare {
-        let name = it.alias.clone();
-        orders.push(Order::Prepare { name, access: it.access, shape: it.shape.clone() });
+    let prepare = named.filter(|p| reset || conn.prepared.binary_search(&p.alias).is_err());
+    if let Some(prepared) = prepare {
+        let name = prepared.alias.clone();
+        orders.push(Order::Prepare { name, access: prepared.access, shape: prepared.shape.clone() });
     }
     if orders.is_empty() {
         return true;
     }
     let mut out = BytesMut::new();
-    for it in &orders {
-        inst.adapters.protocol.encode_order(it, None, &mut out);
+    for order in &orders {
+        inst.adapters.protocol.encode_order(order, None, &mut out);
     }
-    // Until all are answered its state isn't known.
+    // The session state is unknown until all orders are answered.
     conn.values = None;
     if reset {
         conn.prepared.clear();
@@ -445,14 +470,14 @@
     }
     for _ in &orders {
         match conn.next_answer(inst.adapters.protocol.as_ref()).await {
-            Ok(it) if it.is_done() => {}
+            Ok(answer) if answer.is_done() => {}
             Ok(_) | Err(_) => return false,
         }
     }
     conn.values = Some(values.clone());
-    if let Some(it) = prepare {
-        let at = conn.prepared.binary_search(&it.alias).unwrap_or_else(|at| at);
-        conn.prepared.insert(at, it.alias.clone());
+    if let Some(prepared) = prepare {
+        let index = conn.prepared.binary_search(&prepared.alias).unwrap_or_else(|i| i);
+        conn.prepared.insert(index, prepared.alias.clone());
     }
     true
 }
