--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -412,17 +412,17 @@
     {
         return Err(RunError::NotSent { reason: "the session state could not be applied".to_owned() });
     }
-    let dialect = inst.adapters.protocol.as_ref();
+    let protocol = inst.adapters.protocol.as_ref();
     let mut out = BytesMut::new();
     match request.command {
-        CommandRef::Statement(forward) => dialect.encode_statement(forward, &mut out),
-        CommandRef::Order(order, after) => dialect.encode_order(order, after, &mut out),
+        CommandRef::Statement(forward) => protocol.encode_statement(forward, &mut out),
+        CommandRef::Order(order, after) => protocol.encode_order(order, after, &mut out),
     }
     let broken = |reason: &dyn ToString| RunError::Broken { reason: reason.to_string() };
     let conn = pooled.get_mut().ok_or_else(|| broken(&"the connection was given back"))?;
     *sent = true;
     conn.send(&out).await.map_err(|e| broken(&e))?;
-    conn.next_answer(dialect).await.map_err(|e| broken(&e))
+    conn.next_answer(protocol).await.map_err(|e| broken(&e))
 }
 
 /// Applies a session's state to a connection: its values, and the named statement if it isn't prepared yet. Returns false if
--- a/crates/engine/src/conn.rs
+++ b/crates/engine/src/conn.rs
@@ -102,14 +102,18 @@
 
 impl Conn {
     /// Opens a connection. Fails if the server at the address doesn't have the id in its directory entry, or on timeout.
-    pub async fn open(dialect: &dyn WireProtocol, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
+    pub async fn open(protocol: &dyn WireProtocol, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
         let peer = server.addr;
-        timeout(CONNECT_TIMEOUT, Conn::handshake(dialect, server, owner))
+        timeout(CONNECT_TIMEOUT, Conn::handshake(protocol, server, owner))
             .await
             .map_err(|_| ConnError::Timeout { peer })?
     }
 
-    async fn handshake(dialect: &dyn WireProtocol, server: &Server, owner: Owner) -> Result<Conn, ConnError> {
+    async fn handshake(
+        protocol: &dyn WireProtocol,
+        server: &Server,
+        owner: Owner,
+    ) -> Result<Conn, ConnError> {
         let peer = server.addr;
         let stream = TcpStream::connect(SocketAddr::V4(peer)).await.context(ConnectSnafu { peer })?;
         stream.set_nodelay(true).context(ConnectSnafu { peer })?;
@@ -126,10 +130,10 @@
             txn: TxnState::Idle,
         };
         let mut out = BytesMut::new();
-        dialect.encode_open(&server.group, &server.id, &conn.owner, &mut out);
+        protocol.encode_open(&server.group, &server.id, &conn.owner, &mut out);
         conn.send(&out).await?;
         loop {
-            if let Some(answer) = dialect.decode_open(&mut conn.buf).context(WireSnafu { peer })? {
+            if let Some(answer) = protocol.decode_open(&mut conn.buf).context(WireSnafu { peer })? {
                 return match answer.error_code() {
                     None => Ok(conn),
                     Some(code) => Err(ConnError::Refused { peer, code }),
@@ -153,9 +157,9 @@
     }
 
     /// Waits for the next answer.
-    pub async fn next_answer(&mut self, dialect: &dyn WireProtocol) -> Result<Answer, ConnError> {
+    pub async fn next_answer(&mut self, protocol: &dyn WireProtocol) -> Result<Answer, ConnError> {
         loop {
-            let answer = dialect.decode_answer(&mut self.buf).context(WireSnafu { peer: self.peer })?;
+            let answer = protocol.decode_answer(&mut self.buf).context(WireSnafu { peer: self.peer })?;
             if let Some(answer) = answer {
                 self.txn = answer.txn;
                 return Ok(answer);
@@ -167,13 +171,13 @@
     /// Sends an order and waits for its answer.
     pub async fn send_order(
         &mut self,
-        dialect: &dyn WireProtocol,
+        protocol: &dyn WireProtocol,
         order: &Order,
     ) -> Result<Answer, ConnError> {
         let mut out = BytesMut::new();
-        dialect.encode_order(order, None, &mut out);
+        protocol.encode_order(order, None, &mut out);
         self.send(&out).await?;
-        self.next_answer(dialect).await
+        self.next_answer(protocol).await
     }
 
     async fn fill_buffer(&mut self) -> Result<(), ConnError> {
--- a/crates/engine/src/group/evidence.rs
+++ b/crates/engine/src/group/evidence.rs
@@ -50,7 +50,7 @@
     pub fn observe_status(&self, server: &Upstream, status: Status, sent: Micros, now: Micros) {
         server.record_contact(now);
         if server.is_outdated(status, sent) {
-            // The next response tells reordering from a log that has become shorter.
+            // The next response shows whether this one was overtaken or the log has become shorter.
             return server.request_status();
         }
         self.apply_status(server, status, sent, now);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -17,7 +17,7 @@
 //! | [`update`], [`upload`], [`fetch`] | what instances hand each other of them |
 //! | [`group`], [`upstream`] | a group and the evidence about it, its servers |
 //! | [`order`] | questions and orders to servers |
-//! | [`conn`], [`pool`], [`permit_queue`] | connections to servers, and turns at them |
+//! | [`conn`], [`pool`], [`permit_queue`] | connections to servers, and permits to run statements there |
 //! | [`dispatch`] | turns at a server that has too much to do, from one instance for all |
 //! | [`channel`] | a way to a server: a connection, or another instance |
 //! | [`message`], [`link`], [`peer`] | other instances and what is said between them |
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -293,7 +293,7 @@
 
 /// Guard of a waiter's place in the queue.
 ///
-/// When a waiter stops waiting or is dropped, removes it from the queue and passes on what it was sent to the next waiter.
+/// Removes a waiter that stops waiting or is dropped from the queue. Passes what was sent to that waiter on to the next one.
 struct WaitGuard<'a> {
     pool: &'a Pool,
     receiver: oneshot::Receiver<Option<PooledConn>>,
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -544,6 +544,7 @@
         self.request_status_after(Micros::MAX);
     }
 
+    /// Requests a status that was requested from the server at `since` or later.
     fn request_status_after(&self, since: Micros) {
         self.in_use.set(true);
         self.requested_since.set(self.requested_since.get().max(since));
