--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -1,10 +1,10 @@
 //! Failover: detects failed primaries and replaces them.
 //!
-//! The holder of the [`crate::lease`] monitors each group's primary. To replace the primary, the holder selects the replica
-//! with the longest log as the candidate and pauses replication on all other replicas. From then on, the old primary's
-//! commits can only be acknowledged, and its reads only confirmed, by the candidate; both end when the candidate is
-//! promoted. No acknowledged commit is lost, and the old primary needn't be reachable. If a replica can't be paused, the
-//! old primary must step down before the promotion; if neither is possible, no server is promoted.
+//! The holder of the [`crate::lease`] monitors each group's primary. To replace the primary, the holder selects the
+//! replica with the longest log as the candidate and pauses replication on all other replicas. From then on, the old
+//! primary's commits can only be acknowledged, and its reads only confirmed, by the candidate; both end when the
+//! candidate is promoted. No acknowledged commit is lost, and the old primary needn't be reachable. If a replica can't
+//! be paused, the old primary must step down before the promotion; if neither is possible, no server is promoted.
 
 use {
     self::attempt::Attempt,
@@ -31,13 +31,13 @@
 const REPLICA_STATUS_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Time without an answer after which a primary is considered failed. An answer behind long statements may take 400 ms.
 const PRIMARY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Primary timeout of an instance that has just started. When all processes restart after a power loss, servers are busy
-/// accepting connections, and a status request may wait for a second.
+/// Primary timeout of an instance that has just started. When all processes restart after a power loss, servers are
+/// busy accepting connections, and a status request may wait for a second.
 const STARTUP_PRIMARY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Uptime below which an instance counts as just started.
 const STARTUP_PERIOD: Duration = Duration::from_secs(5);
-/// Time for which a primary's address must refuse connections before the primary is considered failed. The time is short
-/// because a refusal means that the process has ended.
+/// Time for which a primary's address must refuse connections before the primary is considered failed. The time is
+/// short because a refusal means that the process has ended.
 const REFUSED_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time without a known primary after which a replica is promoted.
 const ABSENT_TIMEOUT: Duration = Duration::from_millis(600);
@@ -216,7 +216,8 @@
     }
 }
 
-/// Reverts the effects of an interrupted failover: resumes paused replicas, and makes primaries of earlier terms step down.
+/// Reverts the effects of an interrupted failover: resumes paused replicas, and makes primaries of earlier terms step
+/// down.
 fn clean_up(inst: &Rc<Instance>, group: &Rc<Group>, now: Micros) {
     let limit = now.saturating_sub(micros(REPLICA_STATUS_INTERVAL));
     for server in group.servers() {
--- a/crates/engine/src/failover/attempt.rs
+++ b/crates/engine/src/failover/attempt.rs
@@ -88,9 +88,9 @@
         }
     }
 
-    /// Fails if only the failed primary may hold acknowledged commits: a replica lost its log in this term, and no replica
-    /// has caught up with the primary since. The failover can proceed once the primary is back with its log, or its entry
-    /// was removed; in the latter case the remaining logs have to suffice.
+    /// Fails if only the failed primary may hold acknowledged commits: a replica lost its log in this term, and no
+    /// replica has caught up with the primary since. The failover can proceed once the primary is back with its log, or
+    /// its entry was removed; in the latter case the remaining logs have to suffice.
     fn check_last_copy(&self, replicas: &[(Rc<Upstream>, Status)]) -> Result<(), Failure> {
         let failed = matches!(self.trigger.cause, Cause::Silent | Cause::Refused | Cause::Absent);
         let Some(unrecovered) = self.group.unrecovered().filter(|_| failed) else { return Ok(()) };
@@ -133,7 +133,8 @@
         (self.record(proof.clone()).await? == proof).then(|| server.clone())
     }
 
-    /// Returns the group's leader record; `leader` is written if there is none. Returns none if the store doesn't answer.
+    /// Returns the group's leader record; `leader` is written if there is none. Returns none if the store doesn't
+    /// answer.
     async fn record(&self, leader: LeaderRecord) -> Option<LeaderRecord> {
         self.inst.leaders.ensure_recorded(self.inst, &self.group.name, leader).await
     }
@@ -195,9 +196,9 @@
         paused.max_by_key(|p| p.1)
     }
 
-    /// Makes the old primary step down because a replica can't be paused, and returns the old primary and its log position.
-    /// Entries that the old primary holds and the candidate lacks may have been acknowledged by that replica; in this case
-    /// the old primary keeps leading, or becomes the candidate.
+    /// Makes the old primary step down because a replica can't be paused, and returns the old primary and its log
+    /// position. Entries that the old primary holds and the candidate lacks may have been acknowledged by that replica;
+    /// in this case the old primary keeps leading, or becomes the candidate.
     async fn step_down(
         &self,
         old: Option<&Rc<Upstream>>,
--- a/crates/engine/src/leaders.rs
+++ b/crates/engine/src/leaders.rs
@@ -1,8 +1,9 @@
 //! Leader records: the last known leader of each group, kept in the store.
 //!
-//! A lease holder that has had no contact with a group's primary learns the term from the replicas, but not which server
-//! leads it. The lease holder therefore records each leader that it sees, with one call of the store per group and term. A
-//! group has a record before the first promotion in the group is ordered; without a record, the first primary still leads.
+//! A lease holder that has had no contact with a group's primary learns the term from the replicas, but not which
+//! server leads it. The lease holder therefore records each leader that it sees, with one call of the store per group
+//! and term. A group has a record before the first promotion in the group is ordered; without a record, the first
+//! primary still leads.
 
 use {
     crate::{
@@ -45,7 +46,8 @@
 
 /// The records read, updated by later writes.
 struct Cache {
-    /// The lease's fencing token at the time of the read. Under another token, another instance may have written records.
+    /// The lease's fencing token at the time of the read. Under another token, another instance may have written
+    /// records.
     token: u64,
     /// Sorted by group.
     records: Vec<StoredRecord>,
@@ -67,8 +69,8 @@
 }
 
 impl Leaders {
-    /// Reads the records, or writes those that are missing or outdated, if this instance holds the lease. Does nothing while
-    /// an earlier call is in flight.
+    /// Reads the records, or writes those that are missing or outdated, if this instance holds the lease. Does nothing
+    /// while an earlier call is in flight.
     pub fn sync(&self, inst: &Rc<Instance>) {
         let now = inst.now();
         let Some(token) = inst.fencing_token() else { return };
@@ -113,7 +115,8 @@
         Ok(())
     }
 
-    /// Returns the records to write: those of groups whose primary is newer than the record, and requested first records.
+    /// Returns the records to write: those of groups whose primary is newer than the record, and requested first
+    /// records.
     fn pending_writes(&self, inst: &Instance, records: &[StoredRecord]) -> Vec<PendingWrite> {
         let record = |group: &str| find(records, group).ok().map(|at| &records[at]);
         let outdated = inst.groups().into_iter().filter_map(|group| {
@@ -173,8 +176,8 @@
         }
     }
 
-    /// Returns the leader of a group's latest term if the records and the servers' entries prove it, although the leader
-    /// doesn't answer this instance.
+    /// Returns the leader of a group's latest term if the records and the servers' entries prove it, although the
+    /// leader doesn't answer this instance.
     pub fn proven_leader(&self, inst: &Instance, group: &Group) -> Option<Name> {
         let servers = group.servers();
         let entries = servers.iter().map(|server| server.entry());
@@ -187,8 +190,8 @@
         })?
     }
 
-    /// Waits until a group has a record and returns the record; `leader` is written if there is none. Returns none if the
-    /// store doesn't answer in time or the lease is lost.
+    /// Waits until a group has a record and returns the record; `leader` is written if there is none. Returns none if
+    /// the store doesn't answer in time or the lease is lost.
     pub async fn ensure_recorded(
         &self,
         inst: &Rc<Instance>,
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -1,5 +1,5 @@
-//! Acquires and renews the failover lease, which allows one instance at a time to order promotions. The decisions are made
-//! by [`pondtrack_core::lease`]; this module calls the store.
+//! Acquires and renews the failover lease, which allows one instance at a time to order promotions. The decisions are
+//! made by [`pondtrack_core::lease`]; this module calls the store.
 
 use {
     crate::{
@@ -19,12 +19,13 @@
 const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 /// Timeout of a renewal. A renewal whose answer was lost is recognised by the next one.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(500);
-/// Interval at which instances without the lease poll its record. While every group has a primary, the reads may be stale,
-/// which costs a tenth of a consistent read.
+/// Interval at which instances without the lease poll its record. While every group has a primary, the reads may be
+/// stale, which costs a tenth of a consistent read.
 const POLL_INTERVAL: Duration = Duration::from_millis(600);
 /// Poll interval in a large fleet for instances that only poll because no known instance watches the store.
 const FALLBACK_POLL_INTERVAL: Duration = Duration::from_millis(1_800);
-/// With fewer other instances than this, all instances poll, so that an instance on the store's side of a partition does.
+/// With fewer other instances than this, all instances poll, so that an instance on the store's side of a partition
+/// does.
 const MIN_LARGE_FLEET: usize = 16;
 /// Time for which stale reads may still return data from before the store was restored from a copy.
 const MAX_STALENESS: Duration = Duration::from_millis(10_000);
@@ -69,8 +70,8 @@
     manager.release().await;
 }
 
-/// Returns true if an instance may acquire the lease. In a large fleet, the instances that watch the store on behalf of all
-/// others are enough to notice that it is free.
+/// Returns true if an instance may acquire the lease. In a large fleet, the instances that watch the store on behalf of
+/// all others are enough to notice that it is free.
 pub fn is_candidate(inst: &Instance) -> bool {
     is_small_fleet(inst) || inst.distribution.must_watch(inst)
 }
--- a/crates/engine/src/link.rs
+++ b/crates/engine/src/link.rs
@@ -1,4 +1,4 @@
-//! Links between instances, which carry their messages.
+//! Links: TCP connections between instances that carry their messages.
 
 use {
     crate::{
@@ -27,138 +27,139 @@
     },
 };
 
-/// Largest message on a link, in bytes: a caller's largest message or answer, and what goes with it.
-const MESSAGE_BYTES: usize = 2 << 20;
-/// Between two looks at a link that owes answers.
-const LOOK: Duration = Duration::from_millis(150);
-/// A link that owes answers and is silent for this long is given up. Statements take up to 300 ms, but a
-/// ping is answered at once.
-const SILENCE: Duration = Duration::from_millis(500);
-/// Between two looks at a link on which only an idle transaction rests.
-const PING: Duration = Duration::from_millis(1_000);
-/// A link on which a transaction rests is given up, on either side, when nothing was heard for this long:
-/// three pings.
+/// Maximum size of a message on a link, in bytes: the largest statement or answer, and the fields sent with it.
+const MAX_MESSAGE_BYTES: usize = 2 << 20;
+/// Interval at which a link with pending requests is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
+/// Time without received bytes after which a link with pending requests is closed. Statements take up to 300 ms, but a
+/// ping is answered immediately.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which a link with an idle transaction and no pending requests is checked.
+const PING_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time without received bytes after which a link with an open transaction is closed, on either side: three pings.
 pub const STREAM_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// A link to another instance, over which this one asks.
+/// The requesting side of a link to another instance.
 pub struct Link {
     sender: mpsc::UnboundedSender<Message>,
+    /// Pending requests, sorted by id.
     pending: RefCell<Vec<(u64, oneshot::Sender<Response>)>>,
-    next: Cell<u64>,
-    /// When anything came, be it a part of a message.
+    next_id: Cell<u64>,
+    /// Time at which bytes were last received, even if they are only a part of a message.
     last_received: Rc<Cell<Micros>>,
-    /// Since when something is owed, or a transaction rests on it.
-    since: Cell<Micros>,
-    /// Whether a ping has no answer yet that was sent because nothing else would be answered.
-    pinged: Cell<bool>,
-    /// Transactions that rest on it.
+    /// Time at which a transaction was last opened, or a response became due while none was pending.
+    active_since: Cell<Micros>,
+    /// True if a keepalive ping is unanswered, sent while no other response was due.
+    ping_pending: Cell<bool>,
+    /// Number of open transactions on the link.
     pinned: Cell<usize>,
-    /// Woken when it has to be looked at.
-    wanted: Notify,
+    /// Notified when the link becomes active or is closed.
+    wakeup: Notify,
     open: Cell<bool>,
     clock: Clock,
 }
 
 impl Link {
-    /// Begins to use a connection.
+    /// Starts a link over a connection.
     pub fn start(inst: &Rc<Instance>, stream: TcpStream) -> Rc<Link> {
         let Halves { reader, sender, last_received } = split(stream, inst.clock);
-        let it = Rc::new(Link {
+        let link = Rc::new(Link {
             sender,
             pending: RefCell::default(),
-            next: Cell::new(1),
+            next_id: Cell::new(1),
             last_received,
-            since: Cell::new(inst.now()),
-            pinged: Cell::default(),
+            active_since: Cell::new(inst.now()),
+            ping_pending: Cell::default(),
             pinned: Cell::default(),
-            wanted: Notify::new(),
+            wakeup: Notify::new(),
             open: Cell::new(true),
             clock: inst.clock,
         });
-        tokio::task::spawn_local(it.clone().receive(reader));
-        tokio::task::spawn_local(it.clone().watch());
-        it
+        tokio::task::spawn_local(link.clone().receive(reader));
+        tokio::task::spawn_local(link.clone().monitor());
+        link
     }
 
-    /// Whether it works, as far as is known.
+    /// Returns true if the link isn't known to have failed.
     pub fn is_open(&self) -> bool {
         self.open.get()
     }
 
-    /// A number that no other stream of this link has.
+    /// Returns an id that is unique among the link's streams and requests.
     pub fn next_id(&self) -> u64 {
-        self.next.replace(self.next.get() + 1)
+        self.next_id.replace(self.next_id.get() + 1)
     }
 
-    /// Tells something that isn't answered.
+    /// Sends a message that has no response. Does nothing if the link is closed.
     pub fn send(&self, message: Message) {
-        // On a closed link nobody is there to be told.
+        // Fails only if the link is closed; the message then has no receiver.
         self.sender.send(message).ok();
     }
 
-    /// Tells something regularly. The link is checked now and then: nothing else would show that it is dead.
+    /// Sends a message that is repeated regularly and has no response. After [`STREAM_TIMEOUT`] without received bytes,
+    /// also sends a ping, because a dead link would otherwise go unnoticed.
     pub fn send_with_keepalive(&self, message: Message) {
         self.send(message);
-        let silent = self.clock.now().saturating_sub(self.last_received.get());
-        if silent >= micros(STREAM_TIMEOUT) && !self.pinged.replace(true) {
+        let idle = self.clock.now().saturating_sub(self.last_received.get());
+        if idle >= micros(STREAM_TIMEOUT) && !self.ping_pending.replace(true) {
             self.send(Message::Ping);
-            self.look();
+            self.activate();
         }
     }
 
-    /// A transaction rests on it from now on.
+    /// Records that a transaction on the link was opened.
     pub fn pin(&self) {
         self.pinned.set(self.pinned.get() + 1);
-        self.look();
+        self.activate();
     }
 
-    /// A transaction has ended.
+    /// Records that a transaction on the link has ended.
     pub fn unpin(&self) {
         self.pinned.set(self.pinned.get().saturating_sub(1));
     }
 
-    /// Has it looked at, from now on.
-    fn look(&self) {
-        self.since.set(self.clock.now());
-        self.wanted.notify_one();
+    /// Starts the checks of the link; its timeouts count from now.
+    fn activate(&self) {
+        self.active_since.set(self.clock.now());
+        self.wakeup.notify_one();
     }
 
-    /// Tells that a stream's transaction is given up.
+    /// Abandons a stream's transaction, which the other instance rolls back.
     pub fn drop_stream(&self, stream: u64) {
-        // On a closed link the other side has dropped it already.
+        // If the link is closed, the other side has rolled back the transaction already.
         self.send(Message::Drop { stream });
     }
 
-    /// Tells that what a question asks for needn't begin. It is answered all the same.
+    /// Cancels a request unless its execution has begun. The request is answered in either case.
     pub fn cancel(&self, id: u64) {
         self.send(Message::Cancel { id });
     }
 
-    /// Asks for something.
-    pub async fn request(&self, ask: Request) -> Response {
-        self.send_request(ask).response().await
+    /// Sends a request and waits for the response.
+    pub async fn request(&self, request: Request) -> Response {
+        self.send_request(request).response().await
     }
 
-    /// Asks for something, and lets the answer come.
-    pub fn send_request(&self, ask: Request) -> PendingRequest<'_> {
+    /// Sends a request without waiting for the response.
+    pub fn send_request(&self, request: Request) -> PendingRequest<'_> {
         let id = self.next_id();
-        let waits = ask.is_cancellable();
-        let (answer, got) = oneshot::channel();
-        if !self.open.get() || self.sender.send(Message::Request { id, request: ask }).is_err() {
-            return PendingRequest { link: self, id, waits: false, got: None };
+        let cancellable = request.is_cancellable();
+        let (sender, receiver) = oneshot::channel();
+        if !self.open.get() || self.sender.send(Message::Request { id, request }).is_err() {
+            return PendingRequest { link: self, id, cancellable: false, receiver: None };
         }
         if self.pending.borrow().is_empty() {
-            self.look();
+            self.activate();
         }
-        self.pending.borrow_mut().push((id, answer));
-        PendingRequest { link: self, id, waits, got: Some(got) }
+        self.pending.borrow_mut().push((id, sender));
+        PendingRequest { link: self, id, cancellable, receiver: Some(receiver) }
     }
 
     async fn receive(self: Rc<Self>, mut reader: Reader) {
         while let Some(Ok(bytes)) = reader.next().await {
-            self.pinged.set(false);
+            self.ping_pending.set(false);
             match Message::decode(&bytes) {
-                Some(Message::Response { id, response: told }) => self.resolve(id, told),
+                Some(Message::Response { id, response }) => self.resolve(id, response),
                 Some(Message::Pong) => {}
                 Some(
                     Message::Request { .. }
@@ -178,39 +179,40 @@
         self.close();
     }
 
-    fn resolve(&self, id: u64, told: Response) {
+    /// Passes a response to the task that waits for it.
+    fn resolve(&self, id: u64, response: Response) {
         let mut pending = self.pending.borrow_mut();
-        let known = pending.binary_search_by_key(&id, |it| it.0).ok().map(|at| pending.remove(at).1);
-        let missed = match known {
-            Some(it) => it.send(told).err(),
-            None => Some(told),
+        let waiter = pending.binary_search_by_key(&id, |p| p.0).ok().map(|at| pending.remove(at).1);
+        let undelivered = match waiter {
+            Some(waiter) => waiter.send(response).err(),
+            None => Some(response),
         };
-        // Whoever asked may have stopped waiting; a turn goes back.
-        if let Some(Response::Permit { permit: turn, .. }) = missed {
-            self.send(Message::ReleasePermit { permit: turn });
+        // The requesting task may have stopped waiting; a permit is then released.
+        if let Some(Response::Permit { permit, .. }) = undelivered {
+            self.send(Message::ReleasePermit { permit });
         }
     }
 
-    /// Gives the link up when it is silent although it owes answers, or a transaction rests on it.
-    async fn watch(self: Rc<Self>) {
+    /// Closes the link if nothing is received although responses are due or a transaction is open.
+    async fn monitor(self: Rc<Self>) {
         while self.open.get() {
-            self.pending.borrow_mut().retain(|it| !it.1.is_closed());
-            let owes = self.pinged.get() || !self.pending.borrow().is_empty();
-            let (pause, limit) = match owes {
-                true => (LOOK, SILENCE),
-                false if self.pinned.get() > 0 => (PING, STREAM_TIMEOUT),
+            self.pending.borrow_mut().retain(|p| !p.1.is_closed());
+            let response_due = self.ping_pending.get() || !self.pending.borrow().is_empty();
+            let (interval, limit) = match response_due {
+                true => (CHECK_INTERVAL, RESPONSE_TIMEOUT),
+                false if self.pinned.get() > 0 => (PING_INTERVAL, STREAM_TIMEOUT),
                 false => {
-                    self.wanted.notified().await;
+                    self.wakeup.notified().await;
                     continue;
                 }
             };
-            if timeout(pause, self.wanted.notified()).await.is_ok() {
+            if timeout(interval, self.wakeup.notified()).await.is_ok() {
                 continue;
             }
-            let silent = self.clock.now().saturating_sub(self.last_received.get().max(self.since.get()));
-            if silent >= micros(limit) {
+            let idle = self.clock.now().saturating_sub(self.last_received.get().max(self.active_since.get()));
+            if idle >= micros(limit) {
                 self.close();
-            } else if silent >= micros(pause) {
+            } else if idle >= micros(interval) {
                 self.sender.send(Message::Ping).ok();
             }
         }
@@ -219,30 +221,33 @@
     fn close(&self) {
         self.open.set(false);
         self.pending.borrow_mut().clear();
-        self.wanted.notify_one();
+        self.wakeup.notify_one();
     }
 }
 
-/// A question that was asked. Dropped before its answer came, it is cancelled.
+/// A request that was sent. Dropping it before the response arrives cancels the request.
 pub struct PendingRequest<'a> {
     link: &'a Link,
     id: u64,
-    /// Whether it may wait for something there.
-    waits: bool,
-    /// Its answer; none where it couldn't be asked.
-    got: Option<oneshot::Receiver<Response>>,
+    /// True if the request is to be cancelled when dropped.
+    cancellable: bool,
+    /// Receives the response; none if the request couldn't be sent.
+    receiver: Option<oneshot::Receiver<Response>>,
 }
 
 impl PendingRequest<'_> {
-    /// Its answer.
+    /// Waits for the response. Returns [`Response::NotSent`] if the link was closed, and [`Response::Broken`] if the
+    /// link is closed before the response arrives.
     pub async fn response(mut self) -> Response {
-        let Some(got) = &mut self.got else { return Response::NotSent("the link is closed".to_owned()) };
-        let told = got.await.unwrap_or_else(|_| Response::Broken("the link broke".to_owned()));
-        self.waits = false;
-        told
+        let Some(receiver) = &mut self.receiver else {
+            return Response::NotSent("the link is closed".to_owned());
+        };
+        let response = receiver.await.unwrap_or_else(|_| Response::Broken("the link broke".to_owned()));
+        self.cancellable = false;
+        response
     }
 
-    /// Its number, by which it can be cancelled while its answer is waited for.
+    /// Returns the request's id, by which it can be cancelled with [`Link::cancel`] while the response is awaited.
     pub fn id(&self) -> u64 {
         self.id
     }
@@ -250,62 +255,61 @@
 
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        if !self.waits {
+        if !self.cancellable {
             return;
         }
-        match self.got.as_mut().map(oneshot::Receiver::try_recv) {
-            // It came, and whoever asked has left.
-            Some(Ok(Response::Permit { permit: turn, .. })) => {
-                self.link.send(Message::ReleasePermit { permit: turn })
-            }
+        match self.receiver.as_mut().map(oneshot::Receiver::try_recv) {
+            // The response arrived, but was never read.
+            Some(Ok(Response::Permit { permit, .. })) => self.link.send(Message::ReleasePermit { permit }),
             Some(Ok(_)) => {}
             Some(Err(_)) | None => self.link.cancel(self.id),
         }
     }
 }
 
-/// Looks at bytes as they come.
-type Note = Box<dyn FnMut(&[u8])>;
+/// Callback invoked with received bytes.
+type OnBytes = Box<dyn FnMut(&[u8])>;
 /// The receiving half of a link.
-pub type Reader = FramedRead<InspectReader<OwnedReadHalf, Note>, LengthDelimitedCodec>;
+pub type Reader = FramedRead<InspectReader<OwnedReadHalf, OnBytes>, LengthDelimitedCodec>;
 
-/// A connection between instances, parted.
+/// A connection between instances, split into its directions.
 pub struct Halves {
-    /// Messages that come.
+    /// Reader of incoming messages.
     pub reader: Reader,
-    /// Messages to be written.
+    /// Queue of outgoing messages.
     pub sender: mpsc::UnboundedSender<Message>,
-    /// When bytes last came. A large message over a narrow link takes longer than a silent link is kept, and is none.
+    /// Time at which bytes were last received. Bytes count rather than messages, because a large message over a narrow
+    /// link may take longer than the timeout of an idle link.
     pub last_received: Rc<Cell<Micros>>,
 }
 
-/// Parts a connection into a reader and a queue of messages to be written.
+/// Splits a connection into a reader and a queue of outgoing messages.
 pub fn split(stream: TcpStream, clock: Clock) -> Halves {
-    // A link without it is slower, nothing worse.
+    // Without TCP_NODELAY, the link only has a higher latency.
     stream.set_nodelay(true).ok();
     let (read, write) = stream.into_split();
-    let codec = LengthDelimitedCodec::builder().max_frame_length(MESSAGE_BYTES).new_codec();
+    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec();
     let (sender, queue) = mpsc::unbounded_channel();
-    tokio::task::spawn_local(send(write, queue));
+    tokio::task::spawn_local(write_queue(write, queue));
     let last_received = Rc::new(Cell::new(clock.now()));
-    let note: Note = {
+    let on_bytes: OnBytes = {
         let last_received = last_received.clone();
         Box::new(move |_| last_received.set(clock.now()))
     };
-    Halves { reader: FramedRead::new(InspectReader::new(read, note), codec), sender, last_received }
+    Halves { reader: FramedRead::new(InspectReader::new(read, on_bytes), codec), sender, last_received }
 }
 
-/// Writes messages; those that come together go together.
-async fn send(mut write: OwnedWriteHalf, mut queue: mpsc::UnboundedReceiver<Message>) {
-    let mut out = BytesMut::new();
+/// Writes queued messages, batching those that are queued together.
+async fn write_queue(mut write: OwnedWriteHalf, mut queue: mpsc::UnboundedReceiver<Message>) {
+    let mut buf = BytesMut::new();
     while let Some(first) = queue.recv().await {
-        first.encode(&mut out);
-        while let Ok(it) = queue.try_recv() {
-            it.encode(&mut out);
+        first.encode(&mut buf);
+        while let Ok(message) = queue.try_recv() {
+            message.encode(&mut buf);
         }
-        if write.write_all(&out).await.is_err() {
+        if write.write_all(&buf).await.is_err() {
             return;
         }
-        out.clear();
+        buf.clear();
     }
 }
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -1,4 +1,4 @@
-//! Other instances, as this one reaches them.
+//! Peers: the other live instances, and the links to them.
 
 use {
     crate::{
@@ -18,101 +18,104 @@
     tokio::{net::TcpStream, sync::Mutex, time::timeout},
 };
 
-/// Time to open a link: a crossing of zones takes under 3 ms, a lost first packet a second.
-const OPEN_LIMIT: Duration = Duration::from_millis(250);
-/// A peer whose link failed is passed over for this long, doubled each time it fails again.
-const AVOID: Duration = Duration::from_millis(1_000);
-/// The most doublings: its entry stays for a while after it is gone.
-const DOUBLINGS: u32 = 4;
-/// An instance that said that it can't watch the store isn't counted on for this long.
-const BLIND: Duration = Duration::from_millis(2_400);
+/// Timeout for opening a link. A cross-zone connection takes less than 3 ms; a lost first packet is only resent after a
+/// second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Initial backoff after a link couldn't be opened, doubled with each further failure.
+const BACKOFF: Duration = Duration::from_millis(1_000);
+/// Maximum number of doublings of the backoff. An instance stays listed for a while after it has ended.
+const MAX_DOUBLINGS: u32 = 4;
+/// Time for which an instance's report that it can't watch the store holds.
+const CANNOT_WATCH_TTL: Duration = Duration::from_millis(2_400);
 
 /// Another instance.
 pub struct Peer {
-    /// Its name.
+    /// Name of the instance.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Name,
-    /// Where it answers.
+    /// Address for links.
     pub addr: SocketAddrV4,
-    /// What it can carry, where it states that.
+    /// Capacity of the instance, if stated.
     pub capacity: Option<Capacity>,
-    avoid: Cell<Micros>,
+    /// End of the backoff.
+    avoid_until: Cell<Micros>,
     failures: Cell<u32>,
-    /// Until when it counts as unable to watch the store.
-    blind: Cell<Micros>,
+    /// Time until which the instance counts as unable to watch the store.
+    cannot_watch_until: Cell<Micros>,
     link: RefCell<Option<Rc<Link>>>,
-    opening: Mutex<()>,
+    /// Held while a link is opened.
+    connecting: Mutex<()>,
 }
 
 impl Peer {
-    /// An instance that was not spoken to yet.
+    /// Creates a peer without a link.
     pub fn new(name: Name, zone: Name, addr: SocketAddrV4) -> Peer {
         Peer {
             name,
             zone,
             addr,
             capacity: None,
-            avoid: Cell::default(),
+            avoid_until: Cell::default(),
             failures: Cell::default(),
-            blind: Cell::default(),
+            cannot_watch_until: Cell::default(),
             link: RefCell::default(),
-            opening: Mutex::default(),
+            connecting: Mutex::default(),
         }
     }
 
-    /// The same with what it can carry.
+    /// Sets the capacity.
     pub fn with_capacity(self, capacity: Option<Capacity>) -> Peer {
         Peer { capacity, ..self }
     }
 
-    /// Whether it may be asked now.
+    /// Returns true if the peer isn't in backoff.
     pub fn is_available(&self, now: Micros) -> bool {
-        self.avoid.get() <= now
+        self.avoid_until.get() <= now
     }
 
-    /// Passes it over for a while.
-    fn avoid(&self, now: Micros) {
-        let failures = self.failures.replace((self.failures.get() + 1).min(DOUBLINGS));
-        self.avoid.set(now + (micros(AVOID) << failures));
+    /// Starts a backoff after a link couldn't be opened.
+    fn back_off(&self, now: Micros) {
+        let failures = self.failures.replace((self.failures.get() + 1).min(MAX_DOUBLINGS));
+        self.avoid_until.set(now + (micros(BACKOFF) << failures));
     }
 
-    /// It says whether it can watch the store.
-    pub fn set_can_watch(&self, watching: bool, now: Micros) {
-        self.blind.set(if watching { 0 } else { now + micros(BLIND) });
+    /// Records the peer's report on its ability to watch the store.
+    pub fn set_can_watch(&self, can_watch: bool, now: Micros) {
+        self.cannot_watch_until.set(if can_watch { 0 } else { now + micros(CANNOT_WATCH_TTL) });
     }
 
-    /// Whether it said lately that it can't watch the store.
+    /// Returns true if the peer recently reported that it can't watch the store.
     pub fn cannot_watch(&self, now: Micros) -> bool {
-        self.blind.get() > now
+        self.cannot_watch_until.get() > now
     }
 
-    /// The link to it, opened if there is none.
+    /// Returns the link to the peer, opening one if there is none. Returns none if the peer can't be reached.
     pub async fn link(&self, inst: &Rc<Instance>) -> Option<Rc<Link>> {
-        let _opening = self.opening.lock().await;
-        let known = self.link.borrow().clone().filter(|it| it.is_open());
+        let _guard = self.connecting.lock().await;
+        let known = self.link.borrow().clone().filter(|link| link.is_open());
         if known.is_some() {
             return known;
         }
-        let opened = timeout(OPEN_LIMIT, TcpStream::connect(SocketAddr::V4(self.addr))).await;
-        match opened.map_err(|_| io::Error::from(io::ErrorKind::TimedOut)).flatten() {
+        let result = timeout(CONNECT_TIMEOUT, TcpStream::connect(SocketAddr::V4(self.addr))).await;
+        match result.map_err(|_| io::Error::from(io::ErrorKind::TimedOut)).flatten() {
             Ok(stream) => {
                 self.failures.set(0);
-                let it = Link::start(inst, stream);
-                *self.link.borrow_mut() = Some(it.clone());
-                Some(it)
+                let link = Link::start(inst, stream);
+                *self.link.borrow_mut() = Some(link.clone());
+                Some(link)
             }
             Err(e) => {
                 log::debug!(peer = self.name.as_str(), step = "link"; "{e}");
-                self.avoid(inst.now());
+                self.back_off(inst.now());
                 None
             }
         }
     }
 
-    /// Asks it for something.
-    pub async fn request(&self, inst: &Rc<Instance>, ask: Request) -> Response {
+    /// Sends a request and waits for the response. Returns [`Response::NotSent`] if there is no link.
+    pub async fn request(&self, inst: &Rc<Instance>, request: Request) -> Response {
         let Some(link) = self.link(inst).await else { return Response::NotSent("no link".to_owned()) };
-        link.request(ask).await
+        link.request(request).await
     }
 }
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -1,4 +1,4 @@
-//! Statements that this instance runs for others.
+//! Relay: serves links of other instances and runs their statements over this instance's connections.
 
 use {
     crate::{
@@ -38,253 +38,255 @@
     },
 };
 
-/// A link, on the side that answers.
-struct Served {
+/// The responding side of a link.
+struct ServedLink {
     inst: Rc<Instance>,
     sender: UnboundedSender<Message>,
-    /// Transactions, by stream.
+    /// Open transactions, sorted by stream.
     streams: RefCell<Vec<(u64, Channel)>>,
-    /// Turns that the other side has.
-    turns: RefCell<Vec<(u64, Permit)>>,
-    /// Questions that are being worked on and may be cancelled.
-    asked: RefCell<Vec<Asked>>,
+    /// Permits held by the other instance, by request id.
+    permits: RefCell<Vec<(u64, Permit)>>,
+    /// Cancellable requests in progress.
+    requests: RefCell<Vec<ActiveRequest>>,
 }
 
-/// A question that is being worked on.
-struct Asked {
+/// A cancellable request in progress.
+struct ActiveRequest {
     id: u64,
-    /// The transaction that it begins or goes on with; none for a turn.
+    /// The stream whose transaction the request begins or continues; none for a permit request.
     stream: Option<u64>,
     progress: Rc<Progress>,
 }
 
-/// Accepts links of other instances until this instance ends.
+/// Accepts links of other instances. Never returns.
 pub async fn accept(inst: Rc<Instance>, listener: TcpListener) {
     accept_all(&listener, "accept link", |stream| serve(inst.clone(), stream)).await;
 }
 
 async fn serve(inst: Rc<Instance>, stream: TcpStream) {
     let Halves { mut reader, sender, last_received } = split(stream, inst.clock);
-    let it = Rc::new(Served {
+    let link = Rc::new(ServedLink {
         inst,
         sender,
         streams: RefCell::default(),
-        turns: RefCell::default(),
-        asked: RefCell::default(),
+        permits: RefCell::default(),
+        requests: RefCell::default(),
     });
-    while let Some(bytes) = it.receive(&mut reader, &last_received).await {
-        let goes_on = Message::decode(&bytes).is_some_and(|message| it.take_in(message));
-        if !goes_on {
+    while let Some(bytes) = link.receive(&mut reader, &last_received).await {
+        let is_valid = Message::decode(&bytes).is_some_and(|message| link.handle(message));
+        if !is_valid {
             break;
         }
     }
-    // Transactions of a link that is gone are rolled back as their connections close.
-    it.streams.borrow_mut().clear();
-    it.turns.borrow_mut().clear();
-    it.give_up();
+    // Transactions of a closed link are rolled back as their connections close.
+    link.streams.borrow_mut().clear();
+    link.permits.borrow_mut().clear();
+    link.cancel_all();
 }
 
-impl Served {
-    /// The next message; none at the end of the link, or when it is silent and transactions rest on it.
+impl ServedLink {
+    /// Returns the next message; none if the link was closed, or if transactions are open on it and no bytes were
+    /// received for [`STREAM_TIMEOUT`].
     async fn receive(&self, reader: &mut Reader, last_received: &Cell<Micros>) -> Option<BytesMut> {
         loop {
-            if let Ok(it) = timeout(STREAM_TIMEOUT, reader.next()).await {
-                return it?.ok();
+            if let Ok(message) = timeout(STREAM_TIMEOUT, reader.next()).await {
+                return message?.ok();
             }
-            let silent = self.inst.now().saturating_sub(last_received.get());
+            let idle = self.inst.now().saturating_sub(last_received.get());
             let transactions = self.streams.borrow().len();
-            if transactions > 0 && silent >= micros(STREAM_TIMEOUT) {
-                log::info!(step = "link", transactions; "another instance is silent; its transactions are rolled back");
+            if transactions > 0 && idle >= micros(STREAM_TIMEOUT) {
+                log::info!(step = "link", transactions; "link timed out: rolling back its transactions");
                 return None;
             }
         }
     }
 
-    /// Takes a message in; says whether the link goes on.
-    fn take_in(self: &Rc<Self>, message: Message) -> bool {
+    /// Handles a message. Returns false if the message is unexpected and the link must be closed.
+    fn handle(self: &Rc<Self>, message: Message) -> bool {
         match message {
-            Message::Request { id, request: ask } => {
-                let progress = self.expect(id, &ask);
-                tokio::task::spawn_local(self.clone().attend(id, ask, progress));
+            Message::Request { id, request } => {
+                let progress = self.register(id, &request);
+                tokio::task::spawn_local(self.clone().process(id, request, progress));
             }
             Message::Overloaded { server } => {
                 if let Some((_, up)) = find(&self.inst, &server) {
                     up.crowd(self.inst.now());
                 }
             }
-            Message::ReleasePermit { permit: turn } => self.end_turn(turn),
+            Message::ReleasePermit { permit } => self.release_permit(permit),
             Message::Drop { stream } => self.drop_stream(stream),
-            Message::Heartbeat(it) => {
-                drop(tokio::task::spawn_local(distribution::on_heartbeat(self.inst.clone(), it)))
+            Message::Heartbeat(heartbeat) => {
+                drop(tokio::task::spawn_local(distribution::on_heartbeat(self.inst.clone(), heartbeat)))
             }
-            // One that was answered meanwhile isn't known any longer.
+            // A request that was answered in the meantime is no longer registered.
             Message::Cancel { id } => self.cancel(id),
-            // On a closed link nobody waits for it.
+            // Fails only if the link is closed.
             Message::Ping => drop(self.sender.send(Message::Pong)),
             Message::Response { .. } | Message::Pong => return false,
         }
         true
     }
 
-    /// Notes a question that may be cancelled from now on, be it with the next message.
-    fn expect(&self, id: u64, ask: &Request) -> Rc<Progress> {
+    /// Registers a request if it is cancellable, before the next message, which may cancel it, is handled.
+    fn register(&self, id: u64, request: &Request) -> Rc<Progress> {
         let progress = Rc::new(Progress::default());
-        let stream = match ask {
-            Request::Run(it) => Some(it.stream),
+        let stream = match request {
+            Request::Run(run) => Some(run.stream),
             _ => None,
         };
-        if ask.is_cancellable() {
-            self.asked.borrow_mut().push(Asked { id, stream, progress: progress.clone() });
+        if request.is_cancellable() {
+            self.requests.borrow_mut().push(ActiveRequest { id, stream, progress: progress.clone() });
         }
         progress
     }
 
-    /// Answers a question, unless it is cancelled before a server has anything of it.
-    async fn attend(self: Rc<Self>, id: u64, ask: Request, progress: Rc<Progress>) {
+    /// Answers a request, unless it is cancelled before any part of it reached a server.
+    async fn process(self: Rc<Self>, id: u64, request: Request, progress: Rc<Progress>) {
         tokio::select! {
             biased;
-            // First, as one that was cancelled at once needn't begin.
+            // Polled first, so that a request that was cancelled immediately doesn't begin.
             () = progress.cancelled() => {
                 self.inst.counters.increment(Count::Cancelled);
-                self.tell(id, Response::Refused);
+                self.respond(id, Response::Refused);
             }
-            () = self.answer(id, ask, &progress) => {}
+            () = self.answer(id, request, &progress) => {}
         }
-        self.forget(id);
+        self.unregister(id);
     }
 
-    /// A question was answered.
-    fn forget(&self, id: u64) {
-        self.asked.borrow_mut().retain(|it| it.id != id);
+    /// Removes a request that was answered.
+    fn unregister(&self, id: u64) {
+        self.requests.borrow_mut().retain(|r| r.id != id);
     }
 
-    /// Nobody waits for an answer.
+    /// Cancels a request, as the other instance no longer waits for the response.
     fn cancel(&self, id: u64) {
-        if let Some(it) = self.asked.borrow().iter().find(|it| it.id == id) {
-            it.progress.disconnect();
+        if let Some(request) = self.requests.borrow().iter().find(|r| r.id == id) {
+            request.progress.disconnect();
         }
     }
 
-    /// A transaction was given up, be it while a statement of it is at its server.
+    /// Abandons a transaction, even while one of its statements is at the server.
     fn drop_stream(&self, stream: u64) {
         drop(self.take_stream(stream));
-        for it in self.asked.borrow().iter().filter(|it| it.stream == Some(stream)) {
-            it.progress.abandon_txn();
+        for request in self.requests.borrow().iter().filter(|r| r.stream == Some(stream)) {
+            request.progress.abandon_txn();
         }
     }
 
-    /// The link has ended: nobody waits for its answers, or wants its transactions.
-    fn give_up(&self) {
-        for it in &*self.asked.borrow() {
-            it.progress.abandon_txn();
-            it.progress.disconnect();
+    /// Cancels all requests and abandons their transactions after the link was closed.
+    fn cancel_all(&self) {
+        for request in &*self.requests.borrow() {
+            request.progress.abandon_txn();
+            request.progress.disconnect();
         }
     }
 
-    async fn answer(&self, id: u64, ask: Request, progress: &Progress) {
+    async fn answer(&self, id: u64, request: Request, progress: &Progress) {
         let inst = &self.inst;
-        let told = match ask {
-            Request::Run(it) => self.run(*it, progress).await,
-            Request::Permit(it) => return self.grant(id, it, progress).await,
-            Request::Fetch(it) => upload::answer(inst, it).await,
-            Request::Lend(it) => inst.quotas.handle_loan(inst, &it),
-            Request::Claim(it) => inst.quotas.handle_claims(inst, &it),
+        let response = match request {
+            Request::Run(run) => self.run(*run, progress).await,
+            Request::Permit(request) => return self.grant_permit(id, request, progress).await,
+            Request::Fetch(request) => upload::answer(inst, request).await,
+            Request::Lend(loan) => inst.quotas.handle_loan(inst, &loan),
+            Request::Claim(claims) => inst.quotas.handle_claims(inst, &claims),
             Request::State { group, wanted } => Response::State(sightings::tell(inst, &group, &wanted).await),
             Request::Order { server, order } => order_server(inst, &server, &order).await,
         };
-        self.tell(id, told);
+        self.respond(id, response);
     }
 
-    /// Tells an answer; says whether the link is open. On a closed one the other side knows.
-    fn tell(&self, id: u64, told: Response) -> bool {
-        self.sender.send(Message::Response { id, response: told }).is_ok()
+    /// Sends a response; returns false if the link is closed.
+    fn respond(&self, id: u64, response: Response) -> bool {
+        self.sender.send(Message::Response { id, response }).is_ok()
     }
 
-    /// Hands out a turn, and takes it back after a while in any case.
-    async fn grant(&self, id: u64, it: PermitRequest, progress: &Progress) {
+    /// Grants a permit to the other instance, and revokes it after [`TURN_MOST`] if it isn't released.
+    async fn grant_permit(&self, id: u64, request: PermitRequest, progress: &Progress) {
         let inst = &self.inst;
-        let Some((_, up)) = find(inst, &it.server) else {
-            self.tell(id, Response::NotSent("unknown server".to_owned()));
+        let Some((_, up)) = find(inst, &request.server) else {
+            self.respond(id, Response::NotSent("unknown server".to_owned()));
             return;
         };
         if up.crowd(inst.now()) {
             tell_homes(inst, &up);
         }
-        let rank = Rank { soft_deadline: it.rank.soft_deadline + inst.now(), ..it.rank };
-        let until = Instant::now() + Duration::from_millis(it.wait_ms.into());
-        let turn = up.shared.enter(rank, Some(it.slow), until).await;
+        let rank = Rank { soft_deadline: request.rank.soft_deadline + inst.now(), ..request.rank };
+        let deadline = Instant::now() + Duration::from_millis(request.wait_ms.into());
+        let outcome = up.shared.enter(rank, Some(request.slow), deadline).await;
         count_lifted(inst, &up);
-        match turn {
+        match outcome {
             Turn::Granted(mut permit) => {
-                // Whether its statement runs isn't known here.
+                // This instance doesn't see if the statement is sent, so the permit counts as used.
                 permit.run();
                 progress.set_sent();
-                self.forget(id);
-                // A link that has closed meanwhile needs no turn.
-                if self.tell(id, Response::Permit { permit: id, overloaded: up.shared.is_crowded() }) {
-                    self.turns.borrow_mut().push((id, permit));
+                self.unregister(id);
+                // If the link was closed in the meantime, the permit is released.
+                if self.respond(id, Response::Permit { permit: id, overloaded: up.shared.is_crowded() }) {
+                    self.permits.borrow_mut().push((id, permit));
                     sleep(TURN_MOST).await;
-                    self.end_turn(id);
+                    self.release_permit(id);
                 }
             }
-            Turn::Refused => drop(self.tell(id, Response::Refused)),
-            Turn::Late => drop(self.tell(id, Response::Busy)),
+            Turn::Refused => drop(self.respond(id, Response::Refused)),
+            Turn::Late => drop(self.respond(id, Response::Busy)),
         }
     }
 
-    fn end_turn(&self, turn: u64) {
-        self.turns.borrow_mut().retain(|it| it.0 != turn);
+    fn release_permit(&self, id: u64) {
+        self.permits.borrow_mut().retain(|permit| permit.0 != id);
     }
 
     fn take_stream(&self, stream: u64) -> Option<Channel> {
         let mut streams = self.streams.borrow_mut();
-        let at = streams.binary_search_by_key(&stream, |it| it.0).ok()?;
+        let at = streams.binary_search_by_key(&stream, |s| s.0).ok()?;
         Some(streams.remove(at).1)
     }
 
     fn put_stream(&self, stream: u64, channel: Channel) {
         let mut streams = self.streams.borrow_mut();
-        let at = streams.partition_point(|old| old.0 < stream);
+        let at = streams.partition_point(|s| s.0 < stream);
         streams.insert(at, (stream, channel));
     }
 
-    async fn run(&self, it: RunRequest, progress: &Progress) -> Response {
+    /// Runs a statement, on the connection of its transaction or on a new one.
+    async fn run(&self, request: RunRequest, progress: &Progress) -> Response {
         let inst = &self.inst;
         let now = Instant::now();
-        let end = now + Duration::from_millis(it.left_ms.into());
-        let Some((group, up)) = find(inst, &it.server.id) else {
+        let deadline = now + Duration::from_millis(request.left_ms.into());
+        let Some((group, up)) = find(inst, &request.server.id) else {
             return Response::NotSent("unknown server".to_owned());
         };
-        // An open transaction goes on over the connection that it began on.
-        if !it.pinned && up.entry().incarnation != it.server.incarnation {
+        // An open transaction continues on its connection.
+        if !request.pinned && up.entry().incarnation != request.server.incarnation {
             return Response::NotSent("another run of the server is known here".to_owned());
         }
-        let rank = it.rank.map(|it| Rank { soft_deadline: it.soft_deadline + inst.now(), ..it });
-        let mut channel = match (it.pinned, self.take_stream(it.stream)) {
-            (true, Some(it)) => it,
+        let rank = request.rank.map(|r| Rank { soft_deadline: r.soft_deadline + inst.now(), ..r });
+        let mut channel = match (request.pinned, self.take_stream(request.stream)) {
+            (true, Some(channel)) => channel,
             (true, None) => return Response::Broken("the transaction is gone".to_owned()),
             (false, _) => {
-                let until = (now + Duration::from_millis(it.wait_ms.into())).min(end);
-                match reach(inst, &up, it.owner, rank, it.slow, until).await {
-                    Ok(it) => Channel::Direct(it),
-                    Err(told) => return told,
+                let wait_deadline = (now + Duration::from_millis(request.wait_ms.into())).min(deadline);
+                match open(inst, &up, request.owner, rank, request.slow, wait_deadline).await {
+                    Ok(direct) => Channel::Direct(direct),
+                    Err(response) => return response,
                 }
             }
         };
-        let values = Rc::new(it.values);
-        let (sent, slow) = (inst.now(), it.slow);
+        let values = Rc::new(request.values);
+        let (sent, slow) = (inst.now(), request.slow);
         let sending = Sending {
             values: Some(&values),
-            named: it.named.as_ref(),
-            what: what(&it.what, it.named.as_ref()),
+            named: request.named.as_ref(),
+            what: borrow_command(&request.what, request.named.as_ref()),
             rank,
             slow,
             overdue: up.overdue(sent),
-            end,
+            end: deadline,
             progress: Some(progress),
         };
         let answer = match channel.run(inst, sending).await {
-            Ok(it) => it,
+            Ok(answer) => answer,
             Err(e) => {
                 up.missed(&e, None, sent, inst.now());
                 return e.into();
@@ -293,10 +295,10 @@
         up.judge(inst, &group, &answer, Exchange { sent, slow, direct: true });
         match answer.txn {
             TxnState::Idle => channel.give_back(),
-            // One that was given up meanwhile is rolled back, as are those of a link that has closed.
+            // A transaction that was abandoned in the meantime is rolled back, as are those of a closed link.
             TxnState::Open | TxnState::Failed if !self.sender.is_closed() && !progress.is_txn_abandoned() => {
                 channel.pin();
-                self.put_stream(it.stream, channel);
+                self.put_stream(request.stream, channel);
             }
             TxnState::Open | TxnState::Failed => {}
         }
@@ -306,19 +308,19 @@
 
 fn find(inst: &Instance, server: &Name) -> Option<(Rc<Group>, Rc<Upstream>)> {
     inst.groups().into_iter().find_map(|group| {
-        let it = group.servers().into_iter().find(|it| it.entry().id == *server)?;
-        Some((group, it))
+        let up = group.servers().into_iter().find(|s| s.entry().id == *server)?;
+        Some((group, up))
     })
 }
 
-/// A connection of this instance for another's statement, with a turn; or what the other is told instead.
-async fn reach(
+/// Opens a connection and acquires a permit for another instance's statement; on failure, returns the response to send.
+async fn open(
     inst: &Rc<Instance>,
     up: &Rc<Upstream>,
     owner: Owner,
     rank: Option<Rank>,
     slow: Micros,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Direct, Response> {
     inst.update_placement(up);
     if up.is_lost() {
@@ -327,8 +329,8 @@
     if up.pool.is_pinned() {
         return Err(Response::Busy);
     }
-    let priority = rank.map_or(0, |it| it.priority);
-    let want = Want { priority, until, values: None, owner: Some(owner) };
+    let priority = rank.map_or(0, |r| r.priority);
+    let want = Want { priority, until: deadline, values: None, owner: Some(owner) };
     Direct::reach(inst, up, rank, slow, want).await.map_err(|e| match e {
         NoWay::Refused => Response::Refused,
         NoWay::Late(_) | NoWay::Full => Response::Busy,
@@ -339,9 +341,9 @@
     })
 }
 
-/// What is sent for another instance.
-fn what<'a>(it: &'a Command, named: Option<&'a Prepared>) -> What<'a> {
-    match it {
+/// Converts a command of another instance to its borrowed form.
+fn borrow_command<'a>(command: &'a Command, named: Option<&'a Prepared>) -> What<'a> {
+    match command {
         Command::Statement { id, text, after } => {
             let text = match named {
                 Some(named) => Text::Execute { name: &named.alias, args: text },
@@ -353,6 +355,7 @@
     }
 }
 
+/// Sends an order of another instance to a server.
 async fn order_server(inst: &Rc<Instance>, server: &ServerProcess, order: &Order) -> Response {
     let Some((group, up)) = find(inst, &server.id) else { return Response::Status(None) };
     inst.update_placement(&up);
@@ -369,17 +372,18 @@
     }
 }
 
-/// A server's account of itself; those who ask at the same time share one question.
+/// Returns a server's status, requested now or later; concurrent callers share one request. Returns none if the server
+/// refuses connections or doesn't answer within [`STATUS_CONN_TIMEOUT`].
 async fn shared_status(inst: &Instance, group: &Group, up: &Upstream) -> Option<Status> {
     let since = inst.now();
     up.ask_after(since);
-    let end = Instant::now() + STATUS_CONN_TIMEOUT;
+    let deadline = Instant::now() + STATUS_CONN_TIMEOUT;
     loop {
         let changed = group.changed.notified();
         match up.status() {
             Some((sent, status)) if sent >= since => return Some(status),
-            _ if Instant::now() >= end || up.refused().is_some_and(|at| at >= since) => return None,
-            // At its end the loop looks once more.
+            _ if Instant::now() >= deadline || up.refused().is_some_and(|at| at >= since) => return None,
+            // The status is checked once more after the deadline.
             _ => drop(timeout(STATUS_CONN_TIMEOUT, changed).await),
         }
     }
