--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -243,7 +243,9 @@
             stream: self.stream,
             pinned: self.pinned,
             server: self.server.clone(),
-            rank: request.rank.map(|rank| Rank { soft_deadline: rank.soft_deadline.saturating_sub(inst.now()), ..rank }),
+            rank: request
+                .rank
+                .map(|rank| Rank { soft_deadline: rank.soft_deadline.saturating_sub(inst.now()), ..rank }),
             wait_ms: left_ms(self.deadline),
             left_ms: left_ms(request.deadline - RELAY_DEADLINE_MARGIN),
             slow: request.slow_after,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -17,7 +17,7 @@
 //! | [`update`], [`upload`], [`fetch`] | updates of the configuration and the directory, and their transfer between instances |
 //! | [`group`], [`upstream`] | a group with the evidence about its state, and its servers |
 //! | [`order`] | status queries and orders to servers |
-//! | [`conn`], [`pool`], [`permit_queue`] | connections to servers, and permits to use run statements there |
+//! | [`conn`], [`pool`], [`permit_queue`] | connections to servers, and permits to run statements there |
 //! | [`dispatch`] | permits for an overloaded server, issued by one instance for all |
 //! | [`channel`] | access to a server by a direct connection or through another instance |
 //! | [`message`], [`link`], [`peer`] | messages between instances, links and peers |
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -224,9 +224,10 @@
                 progress.set_sent();
                 self.unregister(id);
                 // If the link was closed in the meantime, the permit is released.
-                if self
-                    .respond(id, Response::Permit { permit: id, overloaded: up.shared_permits.is_overloaded() })
-                {
+                if self.respond(
+                    id,
+                    Response::Permit { permit: id, overloaded: up.shared_permits.is_overloaded() },
+                ) {
                     self.permits.borrow_mut().push((id, permit));
                     sleep(MAX_PERMIT_TIME).await;
                     self.release_permit(id);
@@ -286,7 +287,7 @@
             rank,
             slow_after: slow,
             stall_timeout: up.stall_timeout(sent),
-            deadline: end: deadline,
+            deadline,
             progress: Some(progress),
         };
         let answer = match channel.run(inst, sending).await {
@@ -334,7 +335,7 @@
         return Err(Response::Busy);
     }
     let priority = rank.map_or(0, |r| r.priority);
-    let want = ConnRequest { priority, deadline: until: deadline, values: None, owner: Some(owner) };
+    let want = ConnRequest { priority, deadline, values: None, owner: Some(owner) };
     Direct::open(inst, up, rank, slow, want).await.map_err(|e| match e {
         DirectError::Refused => Response::Refused,
         DirectError::TimedOut(_) | DirectError::Full => Response::Busy,
@@ -386,7 +387,9 @@
         let changed = group.changed.notified();
         match up.status() {
             Some((sent, status)) if sent >= since => return Some(status),
-            _ if Instant::now() >= deadline || up.refused_since().is_some_and(|at| at >= since) => return None,
+            _ if Instant::now() >= deadline || up.refused_since().is_some_and(|at| at >= since) => {
+                return None;
+            }
             // The status is checked once more after the deadline.
             _ => drop(timeout(STATUS_CONN_TIMEOUT, changed).await),
         }
