--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -412,7 +412,7 @@
     if let Some(values) = request.values
         && !apply_session_state(inst, pooled, values, request.named).await
     {
-        return Err(RunError::NotSent { reason: "the session state could not be applied".to_owned() });
+        return Err(RunError::NotSent { reason: "the connection is of no use".to_owned() });
     }
     let protocol = inst.adapters.protocol.as_ref();
     let mut out = BytesMut::new();
