--- a/crates/engine/src/failover.rs
+++ b/crates/engine/src/failover.rs
@@ -232,7 +232,7 @@
             },
             _ => continue,
         };
-        log::info!(group = group.name.as_str(), server = server.entry().id.as_str(); "cleaning up after an interrupted failover: {order:?}");
+        log::info!(group = group.name.as_str(), server = server.entry().id.as_str(); "left over from a change: {order:?}");
         let (inst, group) = (inst.clone(), group.clone());
         tokio::task::spawn_local(async move { send_order(&inst, &group, &server, &order).await });
     }
--- a/crates/engine/src/leaders.rs
+++ b/crates/engine/src/leaders.rs
@@ -91,7 +91,7 @@
             };
             if let Err(e) = result {
                 inst.counters.increment(Count::StoreFailures);
-                log::info!(step = "leaders"; "leader records not read or written, will be retried: {e}");
+                log::info!(step = "leaders"; "who led isn't recorded yet: {e}");
                 leaders.retry_at.set(inst.now() + micros(RETRY_DELAY));
             }
             leaders.calling.set(false);
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -114,7 +114,7 @@
         if self.lease.observe_era(era, now) {
             self.restored_at = Some(now);
             self.inst.counters.increment(Count::StoreReturns);
-            log::warn!(era, had = was_held; "the store was restored from an older copy: leases granted before are void");
+            log::warn!(era, had = was_held; "the store came back from an older copy: what it granted before is over");
         }
         self.publish();
     }
@@ -165,13 +165,13 @@
             Err(e) => {
                 self.inst.counters.increment(Count::StoreFailures);
                 if !std::mem::replace(&mut self.failing, true) {
-                    log::info!(token, step = "lease"; "failover lease not renewed: {e}");
+                    log::info!(token, step = "lease"; "the right to promote isn't renewed: {e}");
                 }
                 true
             }
         };
         if !is_held {
-            log::warn!(token; "failover lease lost: the record was changed");
+            log::warn!(token; "the right to promote is lost: its record was changed");
         }
         self.publish();
     }
@@ -188,8 +188,8 @@
         self.publish();
         let token = record.token;
         match self.put(record, revision).await {
-            Ok(_) => log::info!(token; "failover lease released"),
-            Err(e) => log::warn!(token; "failover lease not released: {e}"),
+            Ok(_) => log::info!(token; "the right to promote is given up"),
+            Err(e) => log::warn!(token; "the right to promote can't be given up: {e}"),
         }
     }
 }
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -95,7 +95,7 @@
             let idle = self.inst.now().saturating_sub(last_received.get());
             let transactions = self.streams.borrow().len();
             if transactions > 0 && idle >= micros(STREAM_TIMEOUT) {
-                log::info!(step = "link", transactions; "link timed out: rolling back its transactions");
+                log::info!(step = "link", transactions; "another instance is silent; its transactions are rolled back");
                 return None;
             }
         }
