--- a/crates/engine/src/upload.rs
+++ b/crates/engine/src/upload.rs
@@ -162,7 +162,7 @@
         let mut active = self.active.borrow_mut();
         let known = active.iter_mut().find(|u| u.is_for(request) && u.update.version == version);
         let Some(upload) = known.filter(|u| offset < u.update.bytes.len()) else {
-            return Response::NotSent("the upload was aborted here".to_owned());
+            return Response::NotSent("the transfer was given up here".to_owned());
         };
         upload.last_request = inst.now();
         let chunk = chunk(&upload.update, offset);
