--- a/crates/pondtrackd/src/gossip.rs
+++ b/crates/pondtrackd/src/gossip.rs
@@ -138,7 +138,7 @@
             (None, _) => {}
         }
     }
-    node.homes.borrow_mut().retain(|it| !it.is_over());
+    node.homes.borrow_mut().retain(|it| !it.is_drained());
 }
 
 fn begin(node: &Rc<Node>, spec: Rc<GroupSpec>, version: u64, rank: usize, homes: Vec<Name>) {
--- a/crates/pondtrackd/src/home/barrier.rs
+++ b/crates/pondtrackd/src/home/barrier.rs
@@ -6,7 +6,7 @@
 //! arrive while a round is out share the next one.
 
 use {
-    super::{Home, ORDER_LIMIT},
+    super::{Home, ORDER_TIMEOUT},
     crate::{node::Node, telemetry::Count},
     pondtrack_edge::contract::{Order, Position, Role},
     pondtrack_proto::{LogPosition, Term},
@@ -22,7 +22,7 @@
 }
 
 /// The position that covers all that was acknowledged before the call; none when no majority answers.
-pub async fn pass(node: &Rc<Node>, home: &Rc<Home>) -> Option<LogPosition> {
+pub async fn wait(node: &Rc<Node>, home: &Rc<Home>) -> Option<LogPosition> {
     let (send, receive) = oneshot::channel();
     home.barrier.waiting.borrow_mut().push(send);
     if !*home.barrier.running.borrow() {
@@ -40,7 +40,7 @@
             *home.barrier.running.borrow_mut() = false;
             return;
         }
-        let mark = round(&node, &home).await;
+        let mark = run_round(&node, &home).await;
         for it in waiting {
             let _ = it.send(mark);
         }
@@ -48,7 +48,7 @@
 }
 
 /// One round.
-pub async fn round(node: &Rc<Node>, home: &Rc<Home>) -> Option<LogPosition> {
+async fn run_round(node: &Rc<Node>, home: &Rc<Home>) -> Option<LogPosition> {
     node.count(Count::Barriers);
     let quorum = home.spec.borrow().majority();
     let (send, mut receive) = mpsc::unbounded_channel();
@@ -56,7 +56,7 @@
         let (node, home, send) = (node.clone(), home.clone(), send.clone());
         // Each question runs to its end, so that a slow server's connection is not lost with the round.
         tokio::task::spawn_local(async move {
-            if let Ok(it) = home.order(&node, n, Order::Position, ORDER_LIMIT).await {
+            if let Ok(it) = home.order(&node, n, Order::Position, ORDER_TIMEOUT).await {
                 let _ = send.send(it);
             }
         });
--- a/crates/pondtrackd/src/home/exec/mod.rs
+++ b/crates/pondtrackd/src/home/exec/mod.rs
@@ -10,10 +10,10 @@
 //! | `read` | reads outside a transaction |
 //! | `write` | writes outside a transaction, and the gate |
 //! | `resolve` | commits whose term ended |
-//! | `once` | keyed statements and transactions |
+//! | `keyed` | keyed statements and transactions |
 //! | `transaction` | batches of an open transaction |
 
-mod once;
+mod keyed;
 mod read;
 mod resolve;
 mod transaction;
@@ -22,7 +22,7 @@
 use {
     super::{
         Home, StreamId,
-        pool::{Denied, Lease},
+        pool::{PoolError, PooledConn},
     },
     crate::{
         node::Node,
@@ -50,8 +50,8 @@
 const BACKOFF: (u64, u64) = (10, 160);
 
 /// A transaction between two batches.
-pub struct Pinned {
-    lease: Lease,
+pub struct PinnedTxn {
+    lease: PooledConn,
     server: usize,
     /// The key that its commit records.
     key: Option<Name>,
@@ -61,34 +61,34 @@
 
 /// A batch that ran.
 #[derive(Debug)]
-pub struct Ran {
+pub struct BatchResult {
     frames: Vec<u8>,
     txn: TxnState,
     mark: LogPosition,
     served: ServedBy,
 }
 
-impl Ran {
+impl BatchResult {
     /// The recorded outcome of an earlier run.
-    pub fn repeated(frames: Vec<u8>) -> Ran {
-        Ran { frames, txn: TxnState::Idle, mark: LogPosition::default(), served: ServedBy::Primary }
+    pub fn repeated(frames: Vec<u8>) -> BatchResult {
+        BatchResult { frames, txn: TxnState::Idle, mark: LogPosition::default(), served: ServedBy::Primary }
     }
 }
 
 /// Why a batch has no answer of its own.
 #[derive(Debug)]
-pub enum Fail {
+pub enum BatchError {
     /// The final outcome.
-    Outcome(Outcome),
+    Final(Outcome),
     /// Provably unrun, and worth another attempt, maybe on another server.
-    Again {
+    Retryable {
         /// Why.
         reason: Name,
         /// The server that failed.
         server: Option<usize>,
     },
     /// It may have run: the connection broke after it was sent.
-    Broken {
+    Indeterminate {
         /// Why.
         reason: Name,
         /// The position just before it, if known.
@@ -122,7 +122,7 @@
 
 async fn perform(node: &Rc<Node>, home: &Rc<Home>, from: &Name, req: Request) -> Reply {
     let id: StreamId = (from.clone(), req.stream);
-    let (pinned, cancel) = home.enter(&id);
+    let (pinned, cancel) = home.begin_batch(&id);
     let began = node.now();
     let deadline = began + Time::from(req.left_ms);
     let task = Task { node, home, req: &req, deadline, cancel: &cancel };
@@ -131,19 +131,19 @@
         // It must not run on its own what was meant for a transaction that is gone.
         (None, _) if req.pinned => {
             let reason = "the transaction was lost with its connection".into();
-            (Err(Fail::Again { reason, server: None }), None)
+            (Err(BatchError::Retryable { reason, server: None }), None)
         }
         (None, Class::Read) => (task.read().await, None),
         (None, _) => task.write().await,
     };
     // Dropped when the session was closed meanwhile: the server rolls its transaction back.
-    drop(home.leave(&id, kept));
+    drop(home.end_batch(&id, kept));
     let reply = answer(node, home, &req, out);
     tracing::debug!(trace = req.trace, served = %reply.served, took_ms = node.now() - began, "home answered");
     reply
 }
 
-fn answer(node: &Node, home: &Home, req: &Request, out: Result<Ran, Fail>) -> Reply {
+fn answer(node: &Node, home: &Home, req: &Request, out: Result<BatchResult, BatchError>) -> Reply {
     let id = req.id;
     let reply = |outcome| Reply {
         id,
@@ -155,15 +155,15 @@
     };
     match out {
         Ok(it) => {
-            home.budget.borrow_mut().deposit();
+            home.retry_budget.borrow_mut().deposit();
             if req.class == Class::Read {
                 count_read(node, it.served);
             }
             Reply { mark: it.mark, txn: it.txn, served: it.served, frames: it.frames, ..reply(Outcome::Done) }
         }
-        Err(Fail::Outcome(it)) => reply(it),
-        Err(Fail::Again { reason, .. }) => reply(Outcome::NotRun { reason, retry_ms: RETRY_MS }),
-        Err(Fail::Broken { reason, .. }) => reply(Outcome::Unknown { reason }),
+        Err(BatchError::Final(it)) => reply(it),
+        Err(BatchError::Retryable { reason, .. }) => reply(Outcome::NotRun { reason, retry_ms: RETRY_MS }),
+        Err(BatchError::Indeterminate { reason, .. }) => reply(Outcome::Unknown { reason }),
     }
 }
 
@@ -180,7 +180,7 @@
 impl Task<'_> {
     /// Takes a retry from the budget and waits a little, unless another server can be asked `at_once`.
     async fn may_retry(&self, backoff: &mut Backoff, at_once: bool) -> bool {
-        if !self.home.budget.borrow_mut().try_withdraw() {
+        if !self.home.retry_budget.borrow_mut().try_withdraw() {
             return false;
         }
         if !at_once {
@@ -191,35 +191,40 @@
         !self.left().is_zero()
     }
 
-    async fn primary(&self) -> Result<usize, Fail> {
-        if !self.home.primary_is_near(self.node) && self.home.primary().is_some() && self.others_near().await
+    async fn primary(&self) -> Result<usize, BatchError> {
+        if !self.home.is_primary_reachable(self.node)
+            && self.home.primary().is_some()
+            && self.others_near().await
         {
             // The primary is well, but not within reach from here.
             let outcome =
                 Outcome::NotRun { reason: "the primary can't be reached from this home".into(), retry_ms: 0 };
-            return Err(Fail::Outcome(outcome));
+            return Err(BatchError::Final(outcome));
         }
         let it = self.home.wait_primary(self.node, self.deadline).await;
-        it.ok_or_else(|| Fail::Again { reason: "the group has no usable primary".into(), server: None })
+        it.ok_or_else(|| BatchError::Retryable {
+            reason: "the group has no usable primary".into(),
+            server: None,
+        })
     }
 
     /// Whether this home has been spoken against lately: another one hears the primary.
     async fn others_near(&self) -> bool {
-        let lost = self.home.lost.get();
+        let lost = self.home.primary_lost_at.get();
         let limit = self.node.settings.silence_ms * 3;
         lost.is_some_and(|at| self.node.now().saturating_sub(at) > limit)
     }
 
-    async fn lend_primary(&self) -> Result<(usize, Lease), Fail> {
+    async fn acquire_primary(&self) -> Result<(usize, PooledConn), BatchError> {
         let server = self.primary().await?;
-        let lease = self.lend(server).await.map_err(|e| denied(&e))?;
+        let lease = self.acquire(server).await.map_err(|e| denied(&e))?;
         Ok((server, lease))
     }
 
-    async fn lend(&self, server: usize) -> Result<Lease, Denied> {
+    async fn acquire(&self, server: usize) -> Result<PooledConn, PoolError> {
         let begins = self.req.class == Class::Begin;
         let pool = &self.home.servers[server].pool;
-        pool.lend(self.node, self.home, server, &self.req.caller, self.deadline, begins).await
+        pool.acquire(self.node, self.home, server, &self.req.caller, self.deadline, begins).await
     }
 
     /// Runs the caller's messages with the session's settings, between two looks at the position.
@@ -227,11 +232,11 @@
     /// `heads` are queries that go before the caller's messages; their answers are handed back apart.
     async fn run(
         &self,
-        lease: &mut Lease,
+        lease: &mut PooledConn,
         order: Option<Order>,
         frames: &[u8],
         heads: &[&BytesMut],
-    ) -> Result<Exchange, Fail> {
+    ) -> Result<Exchange, BatchError> {
         let mut out = BytesMut::with_capacity(frames.len() + 256);
         let mut set = 0;
         if lease.conn().settings.as_ref() != Some(&self.req.settings) {
@@ -260,14 +265,19 @@
         let after = rest.next().and_then(|it| Position::from_answer(&it.frames));
         if let Some(it) = after {
             // Every answer is evidence, as good as that of a watch.
-            self.home.saw(self.node, lease.server, it, sent);
+            self.home.observe(self.node, lease.server, it, sent);
             lease.known = (it.role == Role::Primary).then_some(it);
         }
         Ok(Exchange { before, extra, answer, after })
     }
 
     /// Runs queries of pondtrack's own; the last answer is the one that counts.
-    async fn run_tail(&self, lease: &mut Lease, queries: &BytesMut, n: usize) -> Result<Exchange, Fail> {
+    async fn run_tail(
+        &self,
+        lease: &mut PooledConn,
+        queries: &BytesMut,
+        n: usize,
+    ) -> Result<Exchange, BatchError> {
         let mut out = BytesMut::new();
         upstream::put_query(POSITION, &mut out);
         out.extend_from_slice(queries);
@@ -283,14 +293,19 @@
     }
 
     /// Sends and reads, bounded in time, ended by a cancel request of the caller.
-    async fn exchange(&self, lease: &mut Lease, out: &BytesMut, n: usize) -> Result<Vec<Answer>, Fail> {
+    async fn exchange(
+        &self,
+        lease: &mut PooledConn,
+        out: &BytesMut,
+        n: usize,
+    ) -> Result<Vec<Answer>, BatchError> {
         let max = self.node.settings.max_answer_bytes;
         let server = lease.server;
         let left = self.left();
         // What was last seen of the server before anything was sent.
         let seen = self.home.servers[server].view.borrow().position;
         let before = lease.known.or(seen.filter(|it| it.role == Role::Primary));
-        let broken = |reason: String| Fail::Broken { reason: reason.into(), before };
+        let broken = |reason: String| BatchError::Indeterminate { reason: reason.into(), before };
         let conn = lease.conn();
         let (addr, key) = (conn.addr, conn.cancel.clone());
         let span = tracing::debug_span!("upstream", trace = self.req.trace, server, peer = %addr);
@@ -336,9 +351,9 @@
         }
     }
 
-    fn finish(&self, lease: Lease, txn: TxnState) {
+    fn finish(&self, lease: PooledConn, txn: TxnState) {
         if txn == TxnState::Idle {
-            lease.give_back();
+            lease.release();
         }
     }
 
@@ -350,20 +365,20 @@
 /// Gives an answer of the primary: its connection goes back, or stays with the transaction.
 fn give(
     server: usize,
-    mut lease: Lease,
+    mut lease: PooledConn,
     answer: Answer,
     mark: LogPosition,
     key: Option<Name>,
-) -> (Result<Ran, Fail>, Option<Box<Pinned>>) {
+) -> (Result<BatchResult, BatchError>, Option<Box<PinnedTxn>>) {
     let txn = answer.txn;
-    let ran = Ran { frames: answer.frames, txn, mark, served: ServedBy::Primary };
+    let ran = BatchResult { frames: answer.frames, txn, mark, served: ServedBy::Primary };
     if txn == TxnState::Idle {
-        lease.give_back();
+        lease.release();
         return (Ok(ran), None);
     }
     lease.pin();
     let failed = txn == TxnState::Failed;
-    (Ok(ran), Some(Box::new(Pinned { lease, server, key, failed })))
+    (Ok(ran), Some(Box::new(PinnedTxn { lease, server, key, failed })))
 }
 
 /// The fingerprint under which transactions stand in the ledger.
@@ -376,10 +391,10 @@
     leads.then_some(after.received)
 }
 
-fn denied(it: &Denied) -> Fail {
+fn denied(it: &PoolError) -> BatchError {
     match it.overload {
-        true => Fail::Outcome(Outcome::NotRun { reason: it.reason.clone(), retry_ms: it.retry_ms }),
-        false => Fail::Again { reason: it.reason.clone(), server: None },
+        true => BatchError::Final(Outcome::NotRun { reason: it.reason.clone(), retry_ms: it.retry_ms }),
+        false => BatchError::Retryable { reason: it.reason.clone(), server: None },
     }
 }
 
--- a/crates/pondtrackd/src/home/exec/read.rs
+++ b/crates/pondtrackd/src/home/exec/read.rs
@@ -1,9 +1,9 @@
 //! Reads outside a transaction: which server, whether its answer may be given, and another try if not.
 
 use {
-    super::{ATTEMPTS, BACKOFF, Fail, Ran, Task, denied, same_primary},
+    super::{ATTEMPTS, BACKOFF, BatchError, BatchResult, Task, denied, same_primary},
     crate::{
-        home::{Gated, barrier},
+        home::{AckOutcome, barrier},
         telemetry::Count,
     },
     pondtrack_core::{
@@ -18,7 +18,7 @@
 
 impl Task<'_> {
     /// A read outside a transaction; it has no effect, so it may be tried again.
-    pub(super) async fn read(&self) -> Result<Ran, Fail> {
+    pub(super) async fn read(&self) -> Result<BatchResult, BatchError> {
         let mut mark = self.req.mark;
         if self.req.barrier && self.req.age_ms.is_none() {
             mark.advance(self.barrier().await?);
@@ -34,29 +34,29 @@
                 Target::Primary { .. } | Target::Unavailable => self.read_primary().await,
             };
             match out {
-                Err(Fail::Again { server, .. }) if self.node.now() < self.deadline => {
+                Err(BatchError::Retryable { server, .. }) if self.node.now() < self.deadline => {
                     self.node.count(Count::RetriedReads);
                     tried.extend(server);
                 }
-                Err(Fail::Broken { reason, .. }) if self.node.now() >= self.deadline => {
-                    return Err(Fail::Again { reason, server: None });
+                Err(BatchError::Indeterminate { reason, .. }) if self.node.now() >= self.deadline => {
+                    return Err(BatchError::Retryable { reason, server: None });
                 }
-                Err(Fail::Broken { .. }) => self.node.count(Count::RetriedReads),
+                Err(BatchError::Indeterminate { .. }) => self.node.count(Count::RetriedReads),
                 other => return other,
             }
         }
-        Err(Fail::Again { reason: "no server could answer the read in time".into(), server: None })
+        Err(BatchError::Retryable { reason: "no server could answer the read in time".into(), server: None })
     }
 
-    pub(super) async fn barrier(&self) -> Result<LogPosition, Fail> {
+    pub(super) async fn barrier(&self) -> Result<LogPosition, BatchError> {
         loop {
             let left = self.left();
-            if let Ok(Some(it)) = timeout(left, barrier::pass(self.node, self.home)).await {
+            if let Ok(Some(it)) = timeout(left, barrier::wait(self.node, self.home)).await {
                 return Ok(it);
             }
             let reason = "no majority of the group's servers answers".into();
             if self.left().is_zero() {
-                return Err(Fail::Again { reason, server: None });
+                return Err(BatchError::Retryable { reason, server: None });
             }
             // A change of primary may be under way.
             let changed = self.home.changed.notified();
@@ -73,8 +73,8 @@
         let aged = self.req.age_ms.is_some();
         match first {
             Target::Replica { .. } => first,
-            _ if aged && self.home.primary_is_near(self.node) => {
-                let _ = timeout(self.left(), barrier::pass(self.node, self.home)).await;
+            _ if aged && self.home.is_primary_reachable(self.node) => {
+                let _ = timeout(self.left(), barrier::wait(self.node, self.home)).await;
                 self.choose(mark, tried)
             }
             _ => first,
@@ -92,7 +92,7 @@
     /// Whether an answer at a position is young enough; always so when no age is stated.
     pub(super) fn is_fresh(&self, term: Term, applied: Lsn) -> bool {
         let Some(age) = self.req.age_ms else { return true };
-        let as_of = self.home.fresh.borrow().as_of(term, applied);
+        let as_of = self.home.freshness.borrow().as_of(term, applied);
         as_of.is_some_and(|at| self.node.now().saturating_sub(at) <= u64::from(age))
     }
 
@@ -101,14 +101,14 @@
         server: usize,
         wait: u64,
         mark: LogPosition,
-    ) -> Result<Ran, Fail> {
-        let again = |reason: Name| Fail::Again { reason, server: Some(server) };
-        let mut lease = self.lend(server).await.map_err(|e| again(e.reason))?;
+    ) -> Result<BatchResult, BatchError> {
+        let again = |reason: Name| BatchError::Retryable { reason, server: Some(server) };
+        let mut lease = self.acquire(server).await.map_err(|e| again(e.reason))?;
         let order = Order::Wait { mark, ms: wait as u32 };
         let it =
             self.run(&mut lease, Some(order), &self.req.frames, &[]).await.map_err(|fail| match fail {
                 // A read has no effect, wherever it got to.
-                Fail::Broken { reason, .. } => again(reason),
+                BatchError::Indeterminate { reason, .. } => again(reason),
                 other => other,
             })?;
         let (Some(before), Some(after)) = (it.before, it.after) else {
@@ -123,29 +123,29 @@
         let shown = LogPosition { term: after.term, lsn: after.applied };
         if self.home.servers.len() > 3 {
             // Primary and replica are no majority of a larger group.
-            let gated = self.home.gated(self.node, shown, self.deadline).await;
-            if gated != Gated::Open {
+            let gated = self.home.wait_for_quorum(self.node, shown, self.deadline).await;
+            if gated != AckOutcome::Committed {
                 return Err(again("what the replica shows is not held by a majority".into()));
             }
         }
         let txn = it.answer.txn;
         self.finish(lease, txn);
-        Ok(Ran { frames: it.answer.frames, txn, mark: shown, served: ServedBy::Replica })
+        Ok(BatchResult { frames: it.answer.frames, txn, mark: shown, served: ServedBy::Replica })
     }
 
-    pub(super) async fn read_primary(&self) -> Result<Ran, Fail> {
+    pub(super) async fn read_primary(&self) -> Result<BatchResult, BatchError> {
         let server = self.primary().await?;
-        let mut lease = self.lend(server).await.map_err(|e| denied(&e))?;
+        let mut lease = self.acquire(server).await.map_err(|e| denied(&e))?;
         let it = self.run(&mut lease, Some(Order::Position), &self.req.frames, &[]).await?;
-        let again = |reason: Name| Fail::Again { reason, server: None };
+        let again = |reason: Name| BatchError::Retryable { reason, server: None };
         let Some(shown) = same_primary(&it) else {
             return Err(again("the primary was superseded".into()));
         };
         let txn = it.answer.txn;
-        match self.home.gated(self.node, shown, self.deadline).await {
-            Gated::Open => {
+        match self.home.wait_for_quorum(self.node, shown, self.deadline).await {
+            AckOutcome::Committed => {
                 self.finish(lease, txn);
-                Ok(Ran { frames: it.answer.frames, txn, mark: shown, served: ServedBy::Primary })
+                Ok(BatchResult { frames: it.answer.frames, txn, mark: shown, served: ServedBy::Primary })
             }
             _ => Err(again("the primary was superseded".into())),
         }
--- a/crates/pondtrackd/src/home/exec/transaction.rs
+++ b/crates/pondtrackd/src/home/exec/transaction.rs
@@ -1,8 +1,8 @@
 //! Batches of a transaction that is open.
 
 use {
-    super::{Exchange, Fail, Pinned, Ran, Task, give, same_primary},
-    crate::home::{Gated, keyed, pool::Lease},
+    super::{BatchError, BatchResult, Exchange, PinnedTxn, Task, give, same_primary},
+    crate::home::{AckOutcome, pool::PooledConn, request_ledger},
     bytes::BytesMut,
     pondtrack_core::request_key,
     pondtrack_edge::{contract::Order, upstream},
@@ -13,13 +13,13 @@
     /// A batch of a transaction that is open.
     pub(super) async fn in_transaction(
         &self,
-        mut pinned: Box<Pinned>,
-    ) -> (Result<Ran, Fail>, Option<Box<Pinned>>) {
+        mut pinned: Box<PinnedTxn>,
+    ) -> (Result<BatchResult, BatchError>, Option<Box<PinnedTxn>>) {
         pinned.lease.resume();
         if pinned.lease.conn().is_stale() {
             // Nothing of this batch was sent, and the server rolls back what it was sent before.
             let reason = "the server ended the connection".into();
-            return (Err(Fail::Again { reason, server: None }), None);
+            return (Err(BatchError::Retryable { reason, server: None }), None);
         }
         let commits = self.req.class == Class::Commit;
         let mut head = BytesMut::new();
@@ -30,7 +30,7 @@
         let order = Some(Order::Position);
         let it = match self.run(&mut pinned.lease, order, &self.req.frames, heads).await {
             Ok(it) => it,
-            Err(Fail::Broken { reason, before }) if commits => {
+            Err(BatchError::Indeterminate { reason, before }) if commits => {
                 let key = pinned.key.clone();
                 drop(pinned);
                 let out = match (key, before) {
@@ -39,18 +39,18 @@
                 };
                 return (out, None);
             }
-            Err(Fail::Broken { reason, .. }) => {
+            Err(BatchError::Indeterminate { reason, .. }) => {
                 // The commit was never sent, so the server rolls back.
-                return (Err(Fail::Again { reason, server: None }), None);
+                return (Err(BatchError::Retryable { reason, server: None }), None);
             }
             Err(e) => return (Err(e), None),
         };
-        let Pinned { lease, server, key, failed: told } = *pinned;
-        let rolled_back = it.answer.txn == TxnState::Idle && keyed::tag(&it.answer) == "ROLLBACK";
+        let PinnedTxn { lease, server, key, failed: told } = *pinned;
+        let rolled_back = it.answer.txn == TxnState::Idle && request_ledger::tag(&it.answer) == "ROLLBACK";
         if commits && rolled_back && !told {
             // A fence ends transactions between two statements; a caller may not look at the tag.
             let reason = "the server rolled the transaction back".into();
-            return (Err(Fail::Again { reason, server: None }), None);
+            return (Err(BatchError::Retryable { reason, server: None }), None);
         }
         let failed = it.answer.error.is_some() || rolled_back;
         if !commits || failed {
@@ -63,15 +63,16 @@
     pub(super) async fn go_on(
         &self,
         server: usize,
-        lease: Lease,
+        lease: PooledConn,
         it: Exchange,
         key: Option<Name>,
-    ) -> (Result<Ran, Fail>, Option<Box<Pinned>>) {
+    ) -> (Result<BatchResult, BatchError>, Option<Box<PinnedTxn>>) {
         let failed = it.answer.error.is_some();
-        let lost = || Err(Fail::Again { reason: "the primary was superseded".into(), server: None });
+        let lost =
+            || Err(BatchError::Retryable { reason: "the primary was superseded".into(), server: None });
         let shown = match same_primary(&it) {
-            Some(mark) if !failed => match self.home.gated(self.node, mark, self.deadline).await {
-                Gated::Open => mark,
+            Some(mark) if !failed => match self.home.wait_for_quorum(self.node, mark, self.deadline).await {
+                AckOutcome::Committed => mark,
                 _ => return (lost(), None),
             },
             // An error shows no rows.
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -1,7 +1,7 @@
 //! Detecting a lost primary, fencing a majority, promoting a server, and taking old ones back.
 
 use {
-    super::{Home, ORDER_LIMIT},
+    super::{Home, ORDER_TIMEOUT},
     crate::{
         keeper::{self, Need},
         node::Node,
@@ -66,11 +66,11 @@
             absent = None;
             continue;
         }
-        if home.primary().is_some() && home.primary_is_near(&node) {
+        if home.primary().is_some() && home.is_primary_reachable(&node) {
             home.found(&node);
             vetoed = VETOED.0;
-        } else if home.lost.get().is_none() {
-            home.lost.set(Some(now));
+        } else if home.primary_lost_at.get().is_none() {
+            home.primary_lost_at.set(Some(now));
         }
         absent = misses_primary(&home).then(|| absent.unwrap_or(now));
         take_back(&node, &home, &mut apart);
@@ -80,11 +80,11 @@
             known = term;
             keeper::replenish(&node, &home, Need::Ahead);
         }
-        if now < quiet_until || home.switching.get() || home.held.get().is_some_and(|it| it > now) {
+        if now < quiet_until || home.in_failover.get() || home.paused_until.get().is_some_and(|it| it > now) {
             continue;
         }
         let Some(cause) = judge(&node, &home, now, absent, &apart) else { continue };
-        if home.grants.borrow().remaining() == 0 {
+        if home.term_pool.borrow().remaining() == 0 {
             // A change begins with a term in hand: its limit would end the calls that bring one, for ever if these
             // are slower than it.
             keeper::replenish(&node, &home, Need::Now);
@@ -112,7 +112,7 @@
         let evidence = evidence(&node, &home, cause);
         node.decide(&home.group, format!("the primary is given up: {cause}"), evidence);
         let wish = wish(cause, primary);
-        if let Err(why) = change(&node, &home, wish).await {
+        if let Err(why) = fail_over(&node, &home, wish).await {
             node.decide(&home.group, "the change of primary failed", why);
         }
         quiet_until = node.now() + AGAIN;
@@ -123,11 +123,11 @@
 fn forget_evidence(home: &Home, now: Time) {
     for it in &home.servers {
         let mut view = it.view.borrow_mut();
-        view.heard.refused_since = view.heard.refused_since.map(|_| now);
-        view.heard.answered_at = view.heard.answered_at.map(|_| now);
+        view.last_contact.refused_since = view.last_contact.refused_since.map(|_| now);
+        view.last_contact.answered_at = view.last_contact.answered_at.map(|_| now);
     }
-    if home.stalled.get().is_some() {
-        home.stalled.set(Some(now));
+    if home.stalled_since.get().is_some() {
+        home.stalled_since.set(Some(now));
     }
 }
 
@@ -139,18 +139,19 @@
 }
 
 fn judge(node: &Node, home: &Home, now: Time, absent: Option<Time>, apart: &[Option<Time>]) -> Option<Cause> {
-    let reachable = home.servers.iter().filter(|it| it.view.borrow().heard.refused_since.is_none()).count();
+    let reachable =
+        home.servers.iter().filter(|it| it.view.borrow().last_contact.refused_since.is_none()).count();
     if reachable < home.spec.borrow().majority() {
         // Without a majority nothing can be fenced.
         return None;
     }
     let primary = home.primary();
-    let heard = primary.map(|n| home.servers[n].view.borrow().heard);
+    let heard = primary.map(|n| home.servers[n].view.borrow().last_contact);
     let rank = home.rank.get();
     if stranded(home, now, apart, rank, primary) {
         return Some(Cause::Stranded);
     }
-    let cause = home.detector.borrow().evaluate(now, rank, heard.as_ref(), absent, home.stalled.get());
+    let cause = home.detector.borrow().evaluate(now, rank, heard.as_ref(), absent, home.stalled_since.get());
     cause.filter(|it| *it != Cause::Stalled || others_suffice(node, home, primary))
 }
 
@@ -168,27 +169,27 @@
 /// Whether the servers other than the primary make a majority. Without one, a change that leaves the
 /// stalled primary out can't succeed, and would only strand those it fences.
 fn others_suffice(node: &Node, home: &Home, primary: Option<usize>) -> bool {
-    let limit = super::monitor::unheard(node, home, false);
-    let near = |n: &usize| home.servers[*n].view.borrow().is_near(node.now(), limit);
+    let limit = super::monitor::max_silence_ms(node, home, false);
+    let near = |n: &usize| home.servers[*n].view.borrow().is_reachable(node.now(), limit);
     let others = (0..home.servers.len()).filter(|n| Some(*n) != primary).filter(near);
     others.count() >= home.spec.borrow().majority()
 }
 
 /// Which server should be the primary, and which should not even be asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Wish {
+pub struct CandidatePreference {
     /// Taken when its log is as high as any.
-    pub prefer: Option<usize>,
+    pub preferred: Option<usize>,
     /// Not fenced.
-    pub skip: Option<usize>,
+    pub excluded: Option<usize>,
 }
 
-fn wish(cause: Cause, primary: Option<usize>) -> Wish {
+fn wish(cause: Cause, primary: Option<usize>) -> CandidatePreference {
     match cause {
-        Cause::Stalled => Wish { prefer: None, skip: primary },
+        Cause::Stalled => CandidatePreference { preferred: None, excluded: primary },
         // A primary that is well is only renewed in a higher term.
-        Cause::Stranded => Wish { prefer: primary, skip: None },
-        Cause::Silent | Cause::Refused | Cause::Absent => Wish::default(),
+        Cause::Stranded => CandidatePreference { preferred: primary, excluded: None },
+        Cause::Silent | Cause::Refused | Cause::Absent => CandidatePreference::default(),
     }
 }
 
@@ -197,17 +198,17 @@
     let one = |it: &super::Server| {
         let view = it.view.borrow();
         let heard = view
-            .heard
+            .last_contact
             .answered_at
             .map_or("never".to_owned(), |at| format!("{} ms ago", now.saturating_sub(at)));
-        let refused = if view.heard.refused_since.is_some() { ", refuses connections" } else { "" };
+        let refused = if view.last_contact.refused_since.is_some() { ", refuses connections" } else { "" };
         let position = view
             .position
             .map_or("unknown".to_owned(), |p| format!("{} of term {} at {}", p.role, p.term, p.received));
         format!("{}: {position}, heard {heard}{refused}", it.spec.borrow().name)
     };
     let servers: Vec<String> = home.servers.iter().map(one).collect();
-    let stalled = match (cause, home.stalled.get()) {
+    let stalled = match (cause, home.stalled_since.get()) {
         (Cause::Stalled, Some(at)) => format!("; commits wait since {} ms", now.saturating_sub(at)),
         _ => String::new(),
     };
@@ -242,9 +243,13 @@
 }
 
 /// Changes the primary.
-pub async fn change(node: &Rc<Node>, home: &Rc<Home>, wish: Wish) -> Result<(Term, Name), String> {
+pub async fn fail_over(
+    node: &Rc<Node>,
+    home: &Rc<Home>,
+    wish: CandidatePreference,
+) -> Result<(Term, Name), String> {
     let term = take_term(node, home).await?;
-    if home.switching.replace(true) {
+    if home.in_failover.replace(true) {
         return Err("another change is under way".to_owned());
     }
     node.count(Count::Switches);
@@ -252,7 +257,7 @@
         Ok(it) => it,
         Err(_) => Err(format!("not done within {} ms", SWITCH_LIMIT.as_millis())),
     };
-    home.switching.set(false);
+    home.in_failover.set(false);
     home.changed.notify_waiters();
     if let Ok((term, primary)) = &out {
         node.count(Count::Promotions);
@@ -261,11 +266,16 @@
     out
 }
 
-async fn drive(node: &Rc<Node>, home: &Rc<Home>, wish: Wish, term: Term) -> Result<(Term, Name), String> {
+async fn drive(
+    node: &Rc<Node>,
+    home: &Rc<Home>,
+    wish: CandidatePreference,
+    term: Term,
+) -> Result<(Term, Name), String> {
     let spec = home.spec.borrow().clone();
     let avoid = (0..spec.servers.len()).filter(|n| spec.servers[*n].draining).collect();
     let (mut switch, first) =
-        Promotion::start(spec.servers.len(), spec.majority(), term, wish.prefer, avoid, wish.skip);
+        Promotion::start(spec.servers.len(), spec.majority(), term, wish.preferred, avoid, wish.excluded);
     let (send, mut receive) = mpsc::unbounded_channel();
     perform(node, home, first, &send);
     let hurry = sleep(PREFERRED_LIMIT);
@@ -330,11 +340,11 @@
 /// A term that nobody else has; from those taken ahead, or from the platform when there are none.
 async fn take_term(node: &Rc<Node>, home: &Rc<Home>) -> Result<Term, String> {
     let known = home.term();
-    if let Some(it) = home.grants.borrow_mut().take(known) {
+    if let Some(it) = home.term_pool.borrow_mut().take(known) {
         return Ok(it);
     }
     keeper::refill(node, home).await.map_err(|e| e.to_string())?;
-    home.grants.borrow_mut().take(known).ok_or_else(|| "no term was granted".to_owned())
+    home.term_pool.borrow_mut().take(known).ok_or_else(|| "no term was granted".to_owned())
 }
 
 /// Starts the orders of a switch; each reports its outcome.
@@ -350,7 +360,7 @@
                     (server, Order::Follow(term, addr))
                 }
             };
-            let it = match home.order(&node, server, order, ORDER_LIMIT).await {
+            let it = match home.order(&node, server, order, ORDER_TIMEOUT).await {
                 Ok(p) => Outcome::Position(server, action, p),
                 Err(e) if e.is_refusal() => Outcome::Refused,
                 Err(_) => Outcome::Lost(action),
@@ -374,7 +384,7 @@
         }
         let since = *apart.get_or_insert(now);
         let patience = APART * home.rank.get() as u64;
-        if it.term > lead.term || now.saturating_sub(since) < patience || home.switching.get() {
+        if it.term > lead.term || now.saturating_sub(since) < patience || home.in_failover.get() {
             continue;
         }
         *apart = Some(now);
@@ -386,7 +396,7 @@
 async fn follow(node: &Rc<Node>, home: &Rc<Home>, n: usize, primary: usize, term: Term, before: Position) {
     let addr = home.servers[primary].spec.borrow().addr;
     let name = home.servers[n].spec.borrow().name.clone();
-    if home.order(node, n, Order::Follow(term, addr), ORDER_LIMIT).await.is_err() {
+    if home.order(node, n, Order::Follow(term, addr), ORDER_TIMEOUT).await.is_err() {
         return;
     }
     let what = format!("{name} follows the primary of term {term}");
@@ -399,7 +409,7 @@
 async fn report_dropped(node: &Rc<Node>, home: &Rc<Home>, n: usize, before: Position, term: Term) {
     for _ in 0..REJOIN_LOOKS {
         sleep(REJOIN_PAUSE).await;
-        let Ok(after) = home.order(node, n, Order::Position, ORDER_LIMIT).await else { continue };
+        let Ok(after) = home.order(node, n, Order::Position, ORDER_TIMEOUT).await else { continue };
         if after.dropped > before.dropped {
             let name = home.servers[n].spec.borrow().name.clone();
             let what = format!("{name} dropped {} entries on rejoining", after.dropped - before.dropped);
--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -3,7 +3,7 @@
 //! | module | holds |
 //! | --- | --- |
 //! | [`exec`] | a request from its arrival to its answer |
-//! | [`keyed`] | requests that run once at most |
+//! | [`request_ledger`] | requests that run once at most |
 //! | [`pool`] | connections to one server |
 //! | [`monitor`] | watching one server |
 //! | [`barrier`] | rounds that ask a majority |
@@ -12,14 +12,14 @@
 pub mod barrier;
 pub mod exec;
 pub mod failover;
-pub mod keyed;
 pub mod monitor;
 pub mod pool;
+pub mod request_ledger;
 
 use {
     crate::node::Node,
     barrier::Barrier,
-    exec::Pinned,
+    exec::PinnedTxn,
     pondtrack_core::{
         Time,
         commit_gate::{AckStatus, CommitGate, Ticket},
@@ -49,7 +49,7 @@
 };
 
 /// Time for an order to a server.
-pub const ORDER_LIMIT: Duration = Duration::from_millis(400);
+pub const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Times of arrival remembered, to tell how far a replica is behind.
 const ARRIVALS: usize = 512;
 
@@ -59,7 +59,7 @@
     /// Its position.
     pub position: Option<Position>,
     /// When it was heard and since when it refuses.
-    pub heard: LastContact,
+    pub last_contact: LastContact,
     /// When which end of its log was seen, oldest first.
     arrivals: VecDeque<(Time, Lsn)>,
 }
@@ -73,9 +73,9 @@
     }
 
     /// Whether the server was heard within a time, in milliseconds, and doesn't refuse connections.
-    pub fn is_near(&self, now: Time, limit: u64) -> bool {
-        let last = self.heard.answered_at.is_some_and(|at| now.saturating_sub(at) < limit);
-        last && self.heard.refused_since.is_none()
+    pub fn is_reachable(&self, now: Time, limit: u64) -> bool {
+        let last = self.last_contact.answered_at.is_some_and(|at| now.saturating_sub(at) < limit);
+        last && self.last_contact.refused_since.is_none()
     }
 
     fn arrived(&mut self, now: Time, position: &Position) {
@@ -105,7 +105,7 @@
     /// Its position as last seen, and when it last answered.
     fn seen(&self) -> (Option<Position>, Option<Time>) {
         let view = self.view.borrow();
-        (view.position, view.heard.answered_at)
+        (view.position, view.last_contact.answered_at)
     }
 }
 
@@ -126,23 +126,23 @@
     /// Holds acknowledgements back.
     pub gate: RefCell<CommitGate>,
     /// Since when commits wait without any progress.
-    pub stalled: Cell<Option<Time>>,
+    pub stalled_since: Cell<Option<Time>>,
     /// Tells how old replicas are.
-    pub fresh: RefCell<Freshness>,
+    pub freshness: RefCell<Freshness>,
     /// Gives up primaries.
     pub detector: RefCell<FailureDetector>,
     /// Terms taken ahead.
-    pub grants: RefCell<TermPool>,
+    pub term_pool: RefCell<TermPool>,
     /// Set while a block of terms is being asked for.
-    pub asking: Cell<bool>,
+    pub refilling: Cell<bool>,
     /// Retries allowed.
-    pub budget: RefCell<RetryBudget>,
+    pub retry_budget: RefCell<RetryBudget>,
     /// Until when work for the primary is held for a planned switch.
-    pub held: Cell<Option<Time>>,
+    pub paused_until: Cell<Option<Time>>,
     /// Set while a change of primary is under way here.
-    pub switching: Cell<bool>,
+    pub in_failover: Cell<bool>,
     /// Since when there is no usable primary.
-    pub lost: Cell<Option<Time>>,
+    pub primary_lost_at: Cell<Option<Time>>,
     /// Rounds that ask a majority.
     pub barrier: Barrier,
     /// Set when this instance is no longer a home: nothing new begins.
@@ -150,7 +150,7 @@
     /// Woken whenever anything above has changed.
     pub changed: Notify,
     /// Woken when an acknowledgement begins to wait, so that replicas are watched closely.
-    pub wanted: Notify,
+    pub ack_requested: Notify,
     tickets: RefCell<Vec<(Ticket, oneshot::Sender<bool>)>>,
     streams: RefCell<Vec<(StreamId, Slot)>>,
 }
@@ -161,20 +161,20 @@
 /// What a stream does at the home.
 enum Slot {
     /// A transaction between two batches.
-    Pinned(Box<Pinned>),
+    Pinned(Box<PinnedTxn>),
     /// A batch runs; the notification cancels it.
     Running(Rc<Notify>),
 }
 
 /// How an acknowledgement fared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gated {
+pub enum AckOutcome {
     /// A majority holds it.
-    Open,
+    Committed,
     /// Its term is over.
-    Broken,
+    Superseded,
     /// Time is up.
-    Late,
+    TimedOut,
 }
 
 impl Home {
@@ -195,19 +195,19 @@
             rank: Cell::new(0),
             count: Cell::new(1),
             gate: RefCell::new(CommitGate::new(n, quorum)),
-            stalled: Cell::default(),
-            fresh: RefCell::new(Freshness::new(n, spec.majority())),
+            stalled_since: Cell::default(),
+            freshness: RefCell::new(Freshness::new(n, spec.majority())),
             detector: RefCell::new(FailureDetector::new(node.settings.detect(), node.now())),
-            grants: RefCell::default(),
-            asking: Cell::default(),
-            budget: RefCell::default(),
-            held: Cell::default(),
-            switching: Cell::default(),
-            lost: Cell::default(),
+            term_pool: RefCell::default(),
+            refilling: Cell::default(),
+            retry_budget: RefCell::default(),
+            paused_until: Cell::default(),
+            in_failover: Cell::default(),
+            primary_lost_at: Cell::default(),
             barrier: Barrier::default(),
             closing: Cell::default(),
             changed: Notify::new(),
-            wanted: Notify::new(),
+            ack_requested: Notify::new(),
             tickets: RefCell::default(),
             streams: RefCell::default(),
             spec: RefCell::new(spec),
@@ -239,7 +239,7 @@
     }
 
     /// Whether nothing is left of it.
-    pub fn is_over(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.closing.get() && self.streams.borrow().is_empty()
     }
 
@@ -261,9 +261,9 @@
     }
 
     /// Whether the primary has been heard lately.
-    pub fn primary_is_near(&self, node: &Node) -> bool {
-        let limit = monitor::unheard(node, self, true);
-        self.primary().is_some_and(|n| self.servers[n].view.borrow().is_near(node.now(), limit))
+    pub fn is_primary_reachable(&self, node: &Node) -> bool {
+        let limit = monitor::max_silence_ms(node, self, true);
+        self.primary().is_some_and(|n| self.servers[n].view.borrow().is_reachable(node.now(), limit))
     }
 
     /// Waits for a primary that takes work, until a time.
@@ -271,9 +271,9 @@
         loop {
             let changed = self.changed.notified();
             let now = node.now();
-            let held = self.held.get().is_some_and(|it| it > now);
-            if let Some(it) = self.primary().filter(|_| !held && !self.switching.get())
-                && self.primary_is_near(node)
+            let held = self.paused_until.get().is_some_and(|it| it > now);
+            if let Some(it) = self.primary().filter(|_| !held && !self.in_failover.get())
+                && self.is_primary_reachable(node)
             {
                 return Some(it);
             }
@@ -281,7 +281,7 @@
             if left == 0 {
                 return None;
             }
-            if let Some(it) = self.held.get().filter(|_| held) {
+            if let Some(it) = self.paused_until.get().filter(|_| held) {
                 left = left.min(it - now);
             }
             // Nearness changes with time alone, so look again now and then.
@@ -290,7 +290,7 @@
     }
 
     /// Takes what a server showed in the answer to a question sent at `sent`.
-    pub fn saw(&self, node: &Node, server: usize, position: Position, sent: Time) {
+    pub fn observe(&self, node: &Node, server: usize, position: Position, sent: Time) {
         let now = node.now();
         let mut view = self.servers[server].view.borrow_mut();
         // An answer that was overtaken by a later one says nothing new.
@@ -301,17 +301,17 @@
         let differs = view.position != Some(position);
         view.arrived(now, &position);
         view.position = Some(position);
-        view.heard = LastContact { answered_at: Some(now), refused_since: None };
+        view.last_contact = LastContact { answered_at: Some(now), refused_since: None };
         drop(view);
-        self.fresh.borrow_mut().confirm(server, position.term, sent);
+        self.freshness.borrow_mut().confirm(server, position.term, sent);
         if position.role == Role::Primary {
-            self.fresh.borrow_mut().observe(position.term, position.received, sent);
+            self.freshness.borrow_mut().observe(position.term, position.received, sent);
             self.begin_term(node, position.term);
         }
         let waited = self.gate.borrow().pending();
         let open = self.gate.borrow_mut().observe(server, position.term, position.received);
         if !open.is_empty() {
-            self.stalled.set((waited > open.len()).then_some(now));
+            self.stalled_since.set((waited > open.len()).then_some(now));
         }
         self.settle(open, true);
         if differs {
@@ -321,7 +321,7 @@
 
     fn begin_term(&self, node: &Node, term: Term) {
         let broken = self.gate.borrow_mut().begin_term(term);
-        if self.gate.borrow().term() == term && self.lost.get().is_some() {
+        if self.gate.borrow().term() == term && self.primary_lost_at.get().is_some() {
             self.found(node);
         }
         self.settle(broken, false);
@@ -329,41 +329,41 @@
 
     /// A usable primary is there again.
     fn found(&self, node: &Node) {
-        if let Some(since) = self.lost.take() {
+        if let Some(since) = self.primary_lost_at.take() {
             let gap = Duration::from_millis(node.now().saturating_sub(since));
             crate::telemetry::failover_gap(gap);
         }
     }
 
     /// Waits until a majority holds what the primary of a term wrote up to a position.
-    pub async fn gated(&self, node: &Node, mark: LogPosition, deadline: Time) -> Gated {
+    pub async fn wait_for_quorum(&self, node: &Node, mark: LogPosition, deadline: Time) -> AckOutcome {
         let verdict = self.gate.borrow_mut().request_ack(mark.term, mark.lsn);
         let ticket = match verdict {
-            AckStatus::Ready => return Gated::Open,
-            AckStatus::Superseded => return Gated::Broken,
+            AckStatus::Ready => return AckOutcome::Committed,
+            AckStatus::Superseded => return AckOutcome::Superseded,
             AckStatus::Pending(it) => it,
         };
         let now = node.now();
-        if self.stalled.get().is_none() {
-            self.stalled.set(Some(now));
+        if self.stalled_since.get().is_none() {
+            self.stalled_since.set(Some(now));
         }
         let (send, receive) = oneshot::channel();
         self.tickets.borrow_mut().push((ticket, send));
-        self.wanted.notify_waiters();
+        self.ack_requested.notify_waiters();
         node.count(crate::telemetry::Count::Gated);
         let left = Duration::from_millis(deadline.saturating_sub(now));
         let out = match timeout(left, receive).await {
-            Ok(Ok(true)) => Gated::Open,
-            Ok(_) => Gated::Broken,
+            Ok(Ok(true)) => AckOutcome::Committed,
+            Ok(_) => AckOutcome::Superseded,
             Err(_) => {
                 self.gate.borrow_mut().cancel(ticket);
                 self.tickets.borrow_mut().retain(|it| it.0 != ticket);
-                Gated::Late
+                AckOutcome::TimedOut
             }
         };
         crate::telemetry::gate_wait(Duration::from_millis(node.now().saturating_sub(now)));
         if self.gate.borrow().pending() == 0 {
-            self.stalled.set(None);
+            self.stalled_since.set(None);
         }
         out
     }
@@ -393,8 +393,8 @@
                 server: n,
                 zone: spec.zone.clone(),
                 is_primary: primary == Some(n),
-                accepts_work: !spec.draining && view.heard.refused_since.is_none(),
-                last_contact: view.heard.answered_at,
+                accepts_work: !spec.draining && view.last_contact.refused_since.is_none(),
+                last_contact: view.last_contact.answered_at,
                 term: position.term,
                 received: position.received,
                 applied: position.applied,
@@ -430,7 +430,7 @@
         drop(control);
         let position = answer?;
         if !matches!(order, Order::Entry(_)) {
-            self.saw(node, server, position, sent);
+            self.observe(node, server, position, sent);
         }
         Ok(position)
     }
@@ -461,8 +461,8 @@
         let server = |it: &Server| {
             let view = it.view.borrow();
             let spec = it.spec.borrow();
-            let heard_ms = view.heard.answered_at.map(|at| now.saturating_sub(at));
-            let near = heard_ms.is_some_and(|ms| ms < 3_000) && view.heard.refused_since.is_none();
+            let heard_ms = view.last_contact.answered_at.map(|at| now.saturating_sub(at));
+            let near = heard_ms.is_some_and(|ms| ms < 3_000) && view.last_contact.refused_since.is_none();
             let role = match view.position {
                 Some(p) if near => p.role.to_string(),
                 _ => "unreachable".to_owned(),
@@ -486,17 +486,17 @@
             homes,
             servers: self.servers.iter().map(server).collect(),
             queued: self.servers.iter().map(|it| it.pool.queued() as u32).sum(),
-            grants: self.grants.borrow().remaining() as u32,
+            grants: self.term_pool.borrow().remaining() as u32,
         }
     }
 
     /// Transactions open on the primary, or requests running there.
-    pub fn busy(&self) -> u32 {
+    pub fn running(&self) -> u32 {
         self.primary().map_or(0, |n| self.servers[n].pool.running() as u32)
     }
 
     /// Takes a stream's transaction, if it has one, and marks the stream as running.
-    pub fn enter(&self, id: &StreamId) -> (Option<Box<Pinned>>, Rc<Notify>) {
+    pub fn begin_batch(&self, id: &StreamId) -> (Option<Box<PinnedTxn>>, Rc<Notify>) {
         let cancel = Rc::new(Notify::new());
         let mut streams = self.streams.borrow_mut();
         let at = streams.iter().position(|it| it.0 == *id);
@@ -511,7 +511,7 @@
     /// A stream's batch has ended; its transaction, if it goes on, is kept.
     ///
     /// Hands the transaction back when the stream was closed meanwhile.
-    pub fn leave(&self, id: &StreamId, pinned: Option<Box<Pinned>>) -> Option<Box<Pinned>> {
+    pub fn end_batch(&self, id: &StreamId, pinned: Option<Box<PinnedTxn>>) -> Option<Box<PinnedTxn>> {
         let mut streams = self.streams.borrow_mut();
         let Some(at) = streams.iter().position(|it| it.0 == *id) else { return pinned };
         streams.swap_remove(at);
@@ -546,7 +546,7 @@
     }
 
     /// Closes all streams of an instance that is gone.
-    pub fn close_origin(&self, origin: &Name) {
+    pub fn close_streams_of(&self, origin: &Name) {
         let ids: Vec<StreamId> =
             self.streams.borrow().iter().filter(|it| it.0.0 == *origin).map(|it| it.0.clone()).collect();
         for it in ids {
--- a/crates/pondtrackd/src/home/monitor.rs
+++ b/crates/pondtrackd/src/home/monitor.rs
@@ -44,7 +44,7 @@
                 refused(&node, &home, server);
             }
             Err(e) => {
-                note(&node, &home, server, &e);
+                record_connect_error(&node, &home, server, &e);
                 let wait = node.with_rng(|rng| backoff.next_delay(rng));
                 sleep(Duration::from_millis(wait)).await;
             }
@@ -62,14 +62,14 @@
     node.settings.watch_ms * factor
 }
 
-/// How long a healthy server may stay unheard, in milliseconds.
-pub fn unheard(node: &Node, home: &Home, leads: bool) -> u64 {
+/// How long a healthy server may stay max_silence_ms, in milliseconds.
+pub fn max_silence_ms(node: &Node, home: &Home, leads: bool) -> u64 {
     let wait = longest_wait(node, home, leads);
     (u64::from(wait) + SLACK).max(node.settings.silence_ms)
 }
 
 /// Takes note of a failed try to open a connection.
-pub fn note(node: &Node, home: &Home, server: usize, e: &EdgeError) {
+pub fn record_connect_error(node: &Node, home: &Home, server: usize, e: &EdgeError) {
     if is_gone(e) {
         refused(node, home, server);
     }
@@ -83,8 +83,8 @@
 /// The server's address refused, or its connection broke; the first time counts.
 fn refused(node: &Node, home: &Home, server: usize) {
     let mut view = home.servers[server].view.borrow_mut();
-    if view.heard.refused_since.is_none() {
-        view.heard.refused_since = Some(node.now());
+    if view.last_contact.refused_since.is_none() {
+        view.last_contact.refused_since = Some(node.now());
         drop(view);
         home.changed.notify_waiters();
     }
@@ -111,9 +111,9 @@
         };
         first = false;
         known = (position.term, position.received.lsn, position.applied);
-        home.saw(node, server, position, sent);
+        home.observe(node, server, position, sent);
         if home.gate.borrow().pending() == 0 {
-            let wanted = home.wanted.notified();
+            let wanted = home.ack_requested.notified();
             let _ = timeout(Duration::from_millis(CALM), wanted).await;
         }
     }
--- a/crates/pondtrackd/src/home/pool.rs
+++ b/crates/pondtrackd/src/home/pool.rs
@@ -42,7 +42,7 @@
 
 /// Why no connection can be had.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Denied {
+pub struct PoolError {
     /// Why.
     pub reason: Name,
     /// When to come back, in milliseconds.
@@ -70,7 +70,7 @@
 }
 
 /// A connection lent to a request or a transaction.
-pub struct Lease {
+pub struct PooledConn {
     /// The server, by its place in the group.
     pub server: usize,
     /// The server's position after the last batch of the transaction, as its primary.
@@ -80,7 +80,7 @@
     slot: Slot,
 }
 
-impl Lease {
+impl PooledConn {
     /// The connection.
     pub fn conn(&mut self) -> &mut Upstream {
         self.conn.as_mut().expect("a lease holds its connection until it ends")
@@ -98,7 +98,7 @@
     }
 
     /// The batch ended outside a transaction: the connection goes back.
-    pub fn give_back(mut self) {
+    pub fn release(mut self) {
         self.apply(ConnEvent::Clean);
         let pool = self.slot.pool.clone();
         let fits = pool.idle.borrow().len() as u32 + pool.lent.get() <= pool.share.get();
@@ -115,7 +115,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for PooledConn {
     fn drop(&mut self) {
         let pool = &self.slot.pool;
         pool.lent.set(pool.lent.get().saturating_sub(1));
@@ -178,7 +178,7 @@
     }
 
     /// Lends a connection to a caller's request.
-    pub async fn lend(
+    pub async fn acquire(
         self: &Rc<Pool>,
         node: &Rc<Node>,
         home: &Home,
@@ -186,11 +186,11 @@
         caller: &Name,
         deadline: Time,
         begins: bool,
-    ) -> Result<Lease, Denied> {
+    ) -> Result<PooledConn, PoolError> {
         let slot = self.admit(node, caller, deadline, begins).await?;
         let conn = self.open_conn(node, home, server, deadline).await?;
         self.lent.set(self.lent.get() + 1);
-        let mut lease = Lease { server, known: None, conn: Some(conn), state: ConnState::Free, slot };
+        let mut lease = PooledConn { server, known: None, conn: Some(conn), state: ConnState::Free, slot };
         lease.apply(ConnEvent::Lend);
         Ok(lease)
     }
@@ -201,12 +201,12 @@
         caller: &Name,
         deadline: Time,
         begins: bool,
-    ) -> Result<Slot, Denied> {
+    ) -> Result<Slot, PoolError> {
         let now = node.now();
         let overload = |retry_ms| {
             node.count(Count::Refused);
             let reason = "all connections to the database are taken".into();
-            Denied { reason, retry_ms, overload: true }
+            PoolError { reason, retry_ms, overload: true }
         };
         let slot = |since| Slot { pool: self.clone(), node: node.clone(), since, begins, sampled: true };
         let ticket = match self.admission.borrow_mut().submit(now, caller, deadline, begins) {
@@ -234,7 +234,7 @@
         home: &Home,
         server: usize,
         deadline: Time,
-    ) -> Result<Upstream, Denied> {
+    ) -> Result<Upstream, PoolError> {
         loop {
             let Some(it) = self.idle.borrow_mut().pop() else { break };
             if !it.is_stale() {
@@ -251,9 +251,9 @@
                     sleep(Duration::from_millis(wait)).await;
                 }
                 Err(e) => {
-                    monitor::note(node, home, server, &e);
+                    monitor::record_connect_error(node, home, server, &e);
                     let overload = false;
-                    return Err(Denied { reason: e.to_string().into(), retry_ms: 100, overload });
+                    return Err(PoolError { reason: e.to_string().into(), retry_ms: 100, overload });
                 }
             }
         }
--- a/crates/pondtrackd/src/home/keyed.rs
+++ b/crates/pondtrackd/src/home/request_ledger.rs
@@ -4,7 +4,7 @@
 //! repeat or a retry of ours, meets a unique violation and gets the recorded outcome.
 
 use {
-    super::exec::{Fail, Ran},
+    super::exec::{BatchError, BatchResult},
     crate::node::epoch_ms,
     bytes::BytesMut,
     pondtrack_core::request_key,
@@ -33,9 +33,9 @@
 }
 
 /// Checks a request's key; hands back its time of issue.
-pub fn check(key: &Name) -> Result<u64, Fail> {
+pub fn check(key: &Name) -> Result<u64, BatchError> {
     request_key::validate(key, epoch_ms())
-        .map_err(|e| Fail::Outcome(Outcome::Key { reason: e.to_string().into() }))
+        .map_err(|e| BatchError::Final(Outcome::Key { reason: e.to_string().into() }))
 }
 
 /// The queries around a keyed batch: before it, with the number of their answers.
@@ -80,10 +80,10 @@
 }
 
 /// Judges a recorded outcome against the request that met it.
-pub fn settle(frames: &[u8], found: &Recorded) -> Result<Ran, Fail> {
+pub fn settle(frames: &[u8], found: &Recorded) -> Result<BatchResult, BatchError> {
     if found.request != request_key::fingerprint(frames) {
         let reason = "the request key was used for another request".into();
-        return Err(Fail::Outcome(Outcome::Key { reason }));
+        return Err(BatchError::Final(Outcome::Key { reason }));
     }
-    Ok(Ran::repeated(repeat(frames, found)))
+    Ok(BatchResult::repeated(repeat(frames, found)))
 }
--- a/crates/pondtrackd/src/keeper.rs
+++ b/crates/pondtrackd/src/keeper.rs
@@ -193,11 +193,11 @@
 
 /// Drops the terms of a home that are no longer of use, and takes more in the background if few are left.
 pub fn replenish(node: &Rc<Node>, home: &Rc<Home>, need: Need) {
-    let mut grants = home.grants.borrow_mut();
+    let mut grants = home.term_pool.borrow_mut();
     grants.discard_through(home.term());
     let (low, none) = (grants.is_low(), grants.remaining() == 0);
     drop(grants);
-    if !low || home.closing.get() || home.asking.replace(true) {
+    if !low || home.closing.get() || home.refilling.replace(true) {
         return;
     }
     let (node, home) = (node.clone(), home.clone());
@@ -205,7 +205,7 @@
         if !none || !share_terms(&node, &home).await {
             take_block(&node, &home, need).await;
         }
-        home.asking.set(false);
+        home.refilling.set(false);
     });
 }
 
@@ -230,7 +230,7 @@
         let make = |id| PeerMsg::ReserveTerms { id, group: home.group.clone(), known };
         let answer = node.peers.ask(node, &peer, make, SHARE_LIMIT).await;
         if let Some(PeerMsg::ReserveTermsReply { block: Some((first, end)), .. }) = answer {
-            home.grants.borrow_mut().add(first, end);
+            home.term_pool.borrow_mut().add(first, end);
             node.decide(
                 &home.group,
                 "terms of another home were taken over",
@@ -257,7 +257,7 @@
             Err(e) => return Err(e),
         };
         if done {
-            home.grants.borrow_mut().add(block.0, block.1);
+            home.term_pool.borrow_mut().add(block.0, block.1);
             return Ok(());
         }
     }
--- a/crates/pondtrackd/src/peers.rs
+++ b/crates/pondtrackd/src/peers.rs
@@ -307,7 +307,7 @@
         () = beat(&send, &running) => {}
     }
     for it in node.homes.borrow().clone() {
-        it.close_origin(&origin);
+        it.close_streams_of(&origin);
     }
 }
 
@@ -386,7 +386,7 @@
         PeerMsg::ReserveTerms { id, group, known } => {
             // They are no longer this home's before they leave: a lost answer loses them, and no two have one.
             let block =
-                node.home(&group).and_then(|it| it.grants.borrow_mut().split_off(known.max(it.term())));
+                node.home(&group).and_then(|it| it.term_pool.borrow_mut().split_off(known.max(it.term())));
             let _ = send.try_send(link::encode(&PeerMsg::ReserveTermsReply { id, block }));
         }
         PeerMsg::Hello { .. }
@@ -421,7 +421,7 @@
     let Some(primary) = home.primary() else { return silent };
     let Ok(it) = home.order(node, primary, Order::Position, HEARD_LIMIT).await else { return silent };
     let limit = node.settings.detect().stall_timeout / 2;
-    let stalled = home.stalled.get().is_some_and(|at| node.now().saturating_sub(at) > limit);
+    let stalled = home.stalled_since.get().is_some_and(|at| node.now().saturating_sub(at) > limit);
     PeerMsg::ProbePrimaryReply { id, term: (it.role == Role::Primary).then_some(it.term), stalled }
 }
 
@@ -429,21 +429,21 @@
 pub async fn hold(node: &Rc<Node>, group: &Name, ms: u32) -> u32 {
     let Some(home) = node.home(group) else { return 0 };
     let until = node.now() + Time::from(ms);
-    home.held.set(Some(until));
+    home.paused_until.set(Some(until));
     let quiet = async {
-        while home.busy() > 0 {
+        while home.running() > 0 {
             home.changed.notified().await;
         }
     };
     // A part of the time is left for the switch itself.
     let _ = timeout(Duration::from_millis(u64::from(ms) / 5), quiet).await;
-    home.busy()
+    home.running()
 }
 
 /// Ends a hold.
 pub fn release(node: &Rc<Node>, group: &Name) {
     if let Some(home) = node.home(group) {
-        home.held.set(None);
+        home.paused_until.set(None);
         home.changed.notify_waiters();
     }
 }
--- a/crates/pondtrackd/src/planner.rs
+++ b/crates/pondtrackd/src/planner.rs
@@ -7,7 +7,7 @@
     crate::{
         control::{self, Refusal},
         gossip::LeaveOrder,
-        home::{ORDER_LIMIT, failover},
+        home::{ORDER_TIMEOUT, failover},
         node::{Node, epoch_ms},
         peers,
     },
@@ -420,16 +420,16 @@
     from: usize,
     target: usize,
 ) -> Result<String, String> {
-    let lead = home.order(node, from, Order::Position, ORDER_LIMIT).await.map_err(|e| e.to_string())?;
+    let lead = home.order(node, from, Order::Position, ORDER_TIMEOUT).await.map_err(|e| e.to_string())?;
     let mark = LogPosition { term: lead.term, lsn: lead.received.lsn };
     let ms = CATCH_UP.as_millis() as u32;
     let caught =
-        home.order(node, target, Order::Wait { mark, ms }, ORDER_LIMIT).await.map_err(|e| e.to_string())?;
+        home.order(node, target, Order::Wait { mark, ms }, ORDER_TIMEOUT).await.map_err(|e| e.to_string())?;
     if caught.applied < mark.lsn {
         return Err("the next primary did not catch up in time".to_owned());
     }
-    let wish = failover::Wish { prefer: Some(target), skip: None };
-    let (term, name) = failover::change(node, home, wish).await?;
+    let wish = failover::CandidatePreference { preferred: Some(target), excluded: None };
+    let (term, name) = failover::fail_over(node, home, wish).await?;
     if home.spec.borrow().server_index(&name) != Some(target) {
         return Err(format!("{name} had a higher log and became the primary of term {term}"));
     }
--- a/crates/pondtrackd/src/run.rs
+++ b/crates/pondtrackd/src/run.rs
@@ -148,7 +148,7 @@
             match it {
                 Part::Members => gossip::tick(&node),
                 Part::Grants => keeper::replenish_all(&node),
-                Part::Homes => node.homes.borrow_mut().retain(|it| !it.is_over()),
+                Part::Homes => node.homes.borrow_mut().retain(|it| !it.is_drained()),
                 Part::Calls => keeper::count_calls(&node, &mut calls),
             }
             timers.set(it, now + it.period(&node.settings));
@@ -177,7 +177,7 @@
         // Others need a moment to hear of it, and send their requests here until then.
         sleep(Duration::from_millis(node.settings.probe_ms.min(1_000))).await;
         loop {
-            node.homes.borrow_mut().retain(|it| !it.is_over());
+            node.homes.borrow_mut().retain(|it| !it.is_drained());
             if node.sessions.is_empty() && node.homes.borrow().is_empty() {
                 return;
             }
