--- a/crates/pondtrackd/src/home/exec/resolve.rs
+++ b/crates/pondtrackd/src/home/exec/resolve.rs
@@ -73,7 +73,7 @@
         let (primary, now) = loop {
             let primary = self.home.wait_primary(self.node, self.deadline).await;
             let primary = primary.ok_or("no primary can tell whether the write lasted")?;
-            let (position, heard) = self.home.servers[primary].seen();
+            let (position, heard) = self.home.servers[primary].last_report();
             match position {
                 Some(it) if it.term > before.term => break (primary, it),
                 _ if heard.is_some_and(|at| at > broke) => {
--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -1,13 +1,13 @@
-//! A group at one of its home instances: its servers, connections, gate and failover.
+//! A group at one of its home instances: its servers, connections, commit gate and failover.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`exec`] | a request from its arrival to its answer |
-//! | [`request_ledger`] | requests that run once at most |
-//! | [`pool`] | connections to one server |
-//! | [`monitor`] | watching one server |
-//! | [`barrier`] | rounds that ask a majority |
-//! | [`failover`] | detecting, fencing, promoting, rejoining |
+//! | [`exec`] | execution of a request, from arrival to answer |
+//! | [`request_ledger`] | ledger of request keys, for requests that run at most once |
+//! | [`pool`] | connection pool of one server |
+//! | [`monitor`] | monitoring of one server |
+//! | [`barrier`] | queries to a majority for the current log position |
+//! | [`failover`] | failure detection, fencing, promotion and rejoining |
 
 pub mod barrier;
 pub mod exec;
@@ -48,42 +48,44 @@
     },
 };
 
-/// Time for an order to a server.
+/// Time limit of an order to a server.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Times of arrival remembered, to tell how far a replica is behind.
-const ARRIVALS: usize = 512;
+/// Maximum number of arrival times kept per server, from which the replica lag is calculated.
+const MAX_ARRIVALS: usize = 512;
 
-/// What a home last saw of a server.
+/// Last known state of a server at a home.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Its position.
+    /// Last reported position.
     pub position: Option<Position>,
-    /// When it was heard and since when it refuses.
+    /// Times of the last answer and of the first refused connection since then.
     pub last_contact: LastContact,
-    /// When which end of its log was seen, oldest first.
+    /// Ends of the log and the times at which they were first seen, oldest first.
     arrivals: VecDeque<(Time, Lsn)>,
 }
 
 impl View {
-    /// How far the server is behind what it has received, in milliseconds.
+    /// Returns the time by which the applied position lags behind the received log, in milliseconds; `u64::MAX` if no
+    /// position is known.
     pub fn lag(&self, now: Time) -> u64 {
-        let Some(it) = &self.position else { return u64::MAX };
-        let waits = self.arrivals.iter().find(|at| at.1 > it.applied);
-        waits.map_or(0, |at| now.saturating_sub(at.0))
+        let Some(position) = &self.position else { return u64::MAX };
+        let pending = self.arrivals.iter().find(|a| a.1 > position.applied);
+        pending.map_or(0, |a| now.saturating_sub(a.0))
     }
 
-    /// Whether the server was heard within a time, in milliseconds, and doesn't refuse connections.
+    /// Returns true if the server has answered within the last `limit` milliseconds and doesn't refuse connections.
     pub fn is_reachable(&self, now: Time, limit: u64) -> bool {
-        let last = self.last_contact.answered_at.is_some_and(|at| now.saturating_sub(at) < limit);
-        last && self.last_contact.refused_since.is_none()
+        let recent = self.last_contact.answered_at.is_some_and(|at| now.saturating_sub(at) < limit);
+        recent && self.last_contact.refused_since.is_none()
     }
 
-    fn arrived(&mut self, now: Time, position: &Position) {
+    /// Records the arrival of the end of a log, and drops the entries that the server has applied.
+    fn record_arrival(&mut self, now: Time, position: &Position) {
         let end = position.received.lsn;
-        while self.arrivals.front().is_some_and(|it| it.1 <= position.applied) {
+        while self.arrivals.front().is_some_and(|a| a.1 <= position.applied) {
             self.arrivals.pop_front();
         }
-        if self.arrivals.back().is_none_or(|it| it.1 < end) && self.arrivals.len() < ARRIVALS {
+        if self.arrivals.back().is_none_or(|a| a.1 < end) && self.arrivals.len() < MAX_ARRIVALS {
             self.arrivals.push_back((now, end));
         }
     }
@@ -91,19 +93,19 @@
 
 /// One server of a group at a home.
 pub struct Server {
-    /// Its configuration; only the draining mark changes.
+    /// Configuration of the server; only the draining flag changes.
     pub spec: RefCell<ServerSpec>,
-    /// What was last seen of it.
+    /// Last known state.
     pub view: RefCell<View>,
-    /// Connections for callers' work.
+    /// Connections for the requests of callers.
     pub pool: Rc<Pool>,
-    /// The connection for orders.
+    /// Control connection, which carries the orders.
     pub control: Mutex<Option<Upstream>>,
 }
 
 impl Server {
-    /// Its position as last seen, and when it last answered.
-    fn seen(&self) -> (Option<Position>, Option<Time>) {
+    /// Returns the last known position and the time of the last answer.
+    fn last_report(&self) -> (Option<Position>, Option<Time>) {
         let view = self.view.borrow();
         (view.position, view.last_contact.answered_at)
     }
@@ -111,78 +113,78 @@
 
 /// A group at one of its homes.
 pub struct Home {
-    /// The group.
+    /// Name of the group.
     pub group: Name,
-    /// Its configuration.
+    /// Configuration of the group.
     pub spec: RefCell<Rc<GroupSpec>>,
-    /// The version of its configuration.
+    /// Version of the configuration.
     pub version: Cell<u64>,
-    /// The place of this instance among the homes.
+    /// Rank of this instance among the homes, from 0.
     pub rank: Cell<usize>,
-    /// How many homes there are.
+    /// Number of homes.
     pub count: Cell<usize>,
-    /// The servers, in the order of the configuration.
+    /// Servers, in the order of the configuration.
     pub servers: Vec<Server>,
-    /// Holds acknowledgements back.
+    /// Commit gate, which delays acknowledgements until a majority holds the commit.
     pub gate: RefCell<CommitGate>,
-    /// Since when commits wait without any progress.
+    /// Time since which commits have waited at the gate without progress.
     pub stalled_since: Cell<Option<Time>>,
-    /// Tells how old replicas are.
+    /// Staleness of the replicas.
     pub freshness: RefCell<Freshness>,
-    /// Gives up primaries.
+    /// Failure detector of the primary.
     pub detector: RefCell<FailureDetector>,
-    /// Terms taken ahead.
+    /// Terms reserved in advance.
     pub term_pool: RefCell<TermPool>,
-    /// Set while a block of terms is being asked for.
+    /// True while a block of terms is being requested.
     pub refilling: Cell<bool>,
-    /// Retries allowed.
+    /// Budget of retries.
     pub retry_budget: RefCell<RetryBudget>,
-    /// Until when work for the primary is held for a planned switch.
+    /// Deadline until which work for the primary is paused for a planned failover.
     pub paused_until: Cell<Option<Time>>,
-    /// Set while a change of primary is under way here.
+    /// True while this home runs a failover.
     pub in_failover: Cell<bool>,
-    /// Since when there is no usable primary.
+    /// Time since which there has been no usable primary.
     pub primary_lost_at: Cell<Option<Time>>,
-    /// Rounds that ask a majority.
+    /// Barrier of the sessions that need the current log position.
     pub barrier: Barrier,
-    /// Set when this instance is no longer a home: nothing new begins.
+    /// True if this instance is no longer a home of the group; no new work is accepted.
     pub closing: Cell<bool>,
-    /// Woken whenever anything above has changed.
+    /// Notified when the state above has changed.
     pub changed: Notify,
-    /// Woken when an acknowledgement begins to wait, so that replicas are watched closely.
+    /// Notified when an acknowledgement begins to wait, so that the monitors poll the servers without delay.
     pub ack_requested: Notify,
     tickets: RefCell<Vec<(Ticket, oneshot::Sender<bool>)>>,
-    streams: RefCell<Vec<(StreamId, Slot)>>,
+    streams: RefCell<Vec<(StreamId, StreamState)>>,
 }
 
-/// A session's stream: the instance it comes from and its number there.
+/// Identity of a session's stream: the instance of the session, and the number of the stream at that instance.
 pub type StreamId = (Name, u64);
 
-/// What a stream does at the home.
-enum Slot {
+/// State of a stream at the home.
+enum StreamState {
     /// A transaction between two batches.
     Pinned(Box<PinnedTxn>),
-    /// A batch runs; the notification cancels it.
+    /// A batch is running; the notification cancels the batch.
     Running(Rc<Notify>),
 }
 
-/// How an acknowledgement fared.
+/// Outcome of waiting for a majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AckOutcome {
-    /// A majority holds it.
+    /// A majority holds the entry.
     Committed,
-    /// Its term is over.
+    /// The term of the entry has ended.
     Superseded,
-    /// Time is up.
+    /// The deadline has passed.
     TimedOut,
 }
 
 impl Home {
-    /// Sets a home up; nothing runs yet.
+    /// Creates a home without starting its tasks.
     pub fn new(node: &Node, spec: Rc<GroupSpec>, version: u64) -> Rc<Home> {
         let n = spec.servers.len();
-        let server = |it: &ServerSpec| Server {
-            spec: RefCell::new(it.clone()),
+        let server = |s: &ServerSpec| Server {
+            spec: RefCell::new(s.clone()),
             view: RefCell::default(),
             pool: Pool::new(),
             control: Mutex::new(None),
@@ -214,12 +216,12 @@
         })
     }
 
-    /// Takes a new configuration, a new rank, or both.
+    /// Applies a new configuration and rank.
     pub fn configure(&self, node: &Node, spec: Rc<GroupSpec>, version: u64, rank: usize, count: usize) {
-        for (it, new) in self.servers.iter().zip(&spec.servers) {
-            *it.spec.borrow_mut() = new.clone();
+        for (server, new) in self.servers.iter().zip(&spec.servers) {
+            *server.spec.borrow_mut() = new.clone();
             let share = placement::connection_share(spec.limit, count, rank);
-            it.pool.resize(node, share, new.draining);
+            server.pool.resize(node, share, new.draining);
         }
         *self.spec.borrow_mut() = spec;
         self.version.set(version);
@@ -229,77 +231,77 @@
         self.changed.notify_waiters();
     }
 
-    /// Ends new work; what runs is finished.
+    /// Stops accepting work; running requests finish.
     pub fn close(&self, node: &Node) {
         self.closing.set(true);
-        for it in &self.servers {
-            it.pool.resize(node, it.pool.share(), true);
+        for s in &self.servers {
+            s.pool.resize(node, s.pool.share(), true);
         }
         self.changed.notify_waiters();
     }
 
-    /// Whether nothing is left of it.
+    /// Returns true if the home is closing and no streams are left.
     pub fn is_drained(&self) -> bool {
         self.closing.get() && self.streams.borrow().is_empty()
     }
 
-    /// The highest term any server has shown.
+    /// Returns the highest term reported by any server.
     pub fn term(&self) -> Term {
-        let terms = self.servers.iter().filter_map(|it| it.view.borrow().position.map(|p| p.term));
+        let terms = self.servers.iter().filter_map(|s| s.view.borrow().position.map(|p| p.term));
         terms.max().unwrap_or_default()
     }
 
-    /// The server that is the primary, unless a majority is known to have a higher term.
+    /// Returns the index of the primary; none if a majority is known to have a higher term.
     pub fn primary(&self) -> Option<usize> {
         let position = |n: usize| self.servers[n].view.borrow().position;
         let all = 0..self.servers.len();
-        let leads = |n: &usize| position(*n).is_some_and(|p| p.role == Role::Primary);
-        let it = all.clone().filter(leads).max_by_key(|n| position(*n).map(|p| p.term))?;
-        let term = position(it)?.term;
-        let above = all.filter(|n| position(*n).is_some_and(|p| p.term > term)).count();
-        (above < self.spec.borrow().majority()).then_some(it)
+        let is_primary = |n: &usize| position(*n).is_some_and(|p| p.role == Role::Primary);
+        let primary = all.clone().filter(is_primary).max_by_key(|n| position(*n).map(|p| p.term))?;
+        let term = position(primary)?.term;
+        let higher = all.filter(|n| position(*n).is_some_and(|p| p.term > term)).count();
+        (higher < self.spec.borrow().majority()).then_some(primary)
     }
 
-    /// Whether the primary has been heard lately.
+    /// Returns true if the primary has answered recently.
     pub fn is_primary_reachable(&self, node: &Node) -> bool {
         let limit = monitor::max_silence_ms(node, self, true);
         self.primary().is_some_and(|n| self.servers[n].view.borrow().is_reachable(node.now(), limit))
     }
 
-    /// Waits for a primary that takes work, until a time.
+    /// Waits for a primary that accepts work; returns none after the deadline.
     pub async fn wait_primary(&self, node: &Node, deadline: Time) -> Option<usize> {
         loop {
             let changed = self.changed.notified();
             let now = node.now();
-            let held = self.paused_until.get().is_some_and(|it| it > now);
-            if let Some(it) = self.primary().filter(|_| !held && !self.in_failover.get())
+            let paused = self.paused_until.get().is_some_and(|until| until > now);
+            if let Some(primary) = self.primary().filter(|_| !paused && !self.in_failover.get())
                 && self.is_primary_reachable(node)
             {
-                return Some(it);
+                return Some(primary);
             }
             let mut left = deadline.saturating_sub(now);
             if left == 0 {
                 return None;
             }
-            if let Some(it) = self.paused_until.get().filter(|_| held) {
-                left = left.min(it - now);
+            if let Some(until) = self.paused_until.get().filter(|_| paused) {
+                left = left.min(until - now);
             }
-            // Nearness changes with time alone, so look again now and then.
+            // A primary stops being reachable by the passing of time alone, without a notification, so poll as well.
             let _ = timeout(Duration::from_millis(left.min(50)), changed).await;
         }
     }
 
-    /// Takes what a server showed in the answer to a question sent at `sent`.
+    /// Records the position that a server reported in its answer to an order sent at `sent`.
     pub fn observe(&self, node: &Node, server: usize, position: Position, sent: Time) {
         let now = node.now();
         let mut view = self.servers[server].view.borrow_mut();
-        // An answer that was overtaken by a later one says nothing new.
-        let old = view.position.map_or(Term(0), |it| it.term);
-        if position.term < old {
+        // An answer of an older term was overtaken by a later one and is out of date.
+        let known_term = view.position.map_or(Term(0), |p| p.term);
+        if position.term < known_term {
             return;
         }
-        let differs = view.position != Some(position);
-        view.arrived(now, &position);
+        let is_changed = view.position != Some(position);
+        view.record_arrival(now, &position);
         view.position = Some(position);
         view.last_contact = LastContact { answered_at: Some(now), refused_since: None };
         drop(view);
@@ -308,40 +310,41 @@
             self.freshness.borrow_mut().observe(position.term, position.received, sent);
             self.begin_term(node, position.term);
         }
-        let waited = self.gate.borrow().pending();
-        let open = self.gate.borrow_mut().observe(server, position.term, position.received);
-        if !open.is_empty() {
-            self.stalled_since.set((waited > open.len()).then_some(now));
+        let pending = self.gate.borrow().pending();
+        let acknowledged = self.gate.borrow_mut().observe(server, position.term, position.received);
+        if !acknowledged.is_empty() {
+            self.stalled_since.set((pending > acknowledged.len()).then_some(now));
         }
-        self.settle(open, true);
-        if differs {
+        self.resolve_tickets(acknowledged, true);
+        if is_changed {
             self.changed.notify_waiters();
         }
     }
 
+    /// Begins a term at the gate, and fails the acknowledgements of earlier terms.
     fn begin_term(&self, node: &Node, term: Term) {
-        let broken = self.gate.borrow_mut().begin_term(term);
+        let superseded = self.gate.borrow_mut().begin_term(term);
         if self.gate.borrow().term() == term && self.primary_lost_at.get().is_some() {
-            self.found(node);
+            self.record_recovery(node);
         }
-        self.settle(broken, false);
+        self.resolve_tickets(superseded, false);
     }
 
-    /// A usable primary is there again.
-    fn found(&self, node: &Node) {
+    /// Records that the group has a usable primary again, and the duration of the gap.
+    fn record_recovery(&self, node: &Node) {
         if let Some(since) = self.primary_lost_at.take() {
             let gap = Duration::from_millis(node.now().saturating_sub(since));
             crate::telemetry::failover_gap(gap);
         }
     }
 
-    /// Waits until a majority holds what the primary of a term wrote up to a position.
+    /// Waits until a majority holds the log of the primary of a term up to `mark`.
     pub async fn wait_for_quorum(&self, node: &Node, mark: LogPosition, deadline: Time) -> AckOutcome {
-        let verdict = self.gate.borrow_mut().request_ack(mark.term, mark.lsn);
-        let ticket = match verdict {
+        let status = self.gate.borrow_mut().request_ack(mark.term, mark.lsn);
+        let ticket = match status {
             AckStatus::Ready => return AckOutcome::Committed,
             AckStatus::Superseded => return AckOutcome::Superseded,
-            AckStatus::Pending(it) => it,
+            AckStatus::Pending(ticket) => ticket,
         };
         let now = node.now();
         if self.stalled_since.get().is_none() {
@@ -352,12 +355,12 @@
         self.ack_requested.notify_waiters();
         node.count(crate::telemetry::Count::Gated);
         let left = Duration::from_millis(deadline.saturating_sub(now));
-        let out = match timeout(left, receive).await {
+        let outcome = match timeout(left, receive).await {
             Ok(Ok(true)) => AckOutcome::Committed,
             Ok(_) => AckOutcome::Superseded,
             Err(_) => {
                 self.gate.borrow_mut().cancel(ticket);
-                self.tickets.borrow_mut().retain(|it| it.0 != ticket);
+                self.tickets.borrow_mut().retain(|t| t.0 != ticket);
                 AckOutcome::TimedOut
             }
         };
@@ -365,29 +368,30 @@
         if self.gate.borrow().pending() == 0 {
             self.stalled_since.set(None);
         }
-        out
+        outcome
     }
 
-    fn settle(&self, tickets: Vec<Ticket>, open: bool) {
+    /// Ends the waits of tickets, with the information whether a majority holds their entries.
+    fn resolve_tickets(&self, tickets: Vec<Ticket>, committed: bool) {
         if tickets.is_empty() {
             return;
         }
         let mut all = self.tickets.borrow_mut();
-        let (done, rest): (Vec<_>, Vec<_>) = all.drain(..).partition(|it| tickets.contains(&it.0));
+        let (done, rest): (Vec<_>, Vec<_>) = all.drain(..).partition(|t| tickets.contains(&t.0));
         *all = rest;
         drop(all);
         for (_, send) in done {
-            let _ = send.send(open);
+            let _ = send.send(committed);
         }
     }
 
-    /// What routing has to know of the servers.
+    /// Returns the candidates for routing; servers without a known position are left out.
     pub fn candidates(&self, node: &Node) -> Vec<Candidate> {
         let now = node.now();
         let primary = self.primary();
-        let one = |(n, it): (usize, &Server)| {
-            let view = it.view.borrow();
-            let spec = it.spec.borrow();
+        let candidate = |(n, server): (usize, &Server)| {
+            let view = server.view.borrow();
+            let spec = server.spec.borrow();
             let position = view.position?;
             Some(Candidate {
                 server: n,
@@ -399,13 +403,13 @@
                 received: position.received,
                 applied: position.applied,
                 lag: view.lag(now),
-                queued: it.pool.load(),
+                queued: server.pool.load(),
             })
         };
-        self.servers.iter().enumerate().filter_map(one).collect()
+        self.servers.iter().enumerate().filter_map(candidate).collect()
     }
 
-    /// Gives an order to a server over its control connection.
+    /// Sends an order to a server over its control connection, and returns the position that the server reports.
     pub async fn order(
         &self,
         node: &Rc<Node>,
@@ -415,15 +419,15 @@
     ) -> Result<Position, EdgeError> {
         node.count(crate::telemetry::Count::ServerOrders);
         let mut control = self.servers[server].control.lock().await;
-        // Taken out while in use: an exchange that is cut off must not leave its answer to the next one.
+        // The connection is taken out while in use: the answer of a cancelled exchange must not be read by the next one.
         let mut conn = match control.take() {
-            Some(it) if !it.is_stale() => it,
+            Some(conn) if !conn.is_stale() => conn,
             _ => self.connect(node, server, limit).await?,
         };
         let sent = node.now();
-        let before = conn.traffic;
+        let traffic_before = conn.traffic;
         let answer = conn.order(order, limit).await;
-        node.counters.add(crate::telemetry::Count::ServerOrderBytes, conn.traffic - before);
+        node.counters.add(crate::telemetry::Count::ServerOrderBytes, conn.traffic - traffic_before);
         if answer.as_ref().is_ok() || answer.as_ref().is_err_and(EdgeError::is_refusal) {
             *control = Some(conn);
         }
@@ -447,24 +451,25 @@
             ("application_name", node.name.as_str()),
         ];
         node.count(crate::telemetry::Count::UpstreamsOpened);
-        let it = Upstream::connect(node.settings.bind, addr, peer, &startup, limit).await;
-        let full = matches!(&it, Err(EdgeError::Refused { code, .. }) if code == "53300");
-        if full {
+        let result = Upstream::connect(node.settings.bind, addr, peer, &startup, limit).await;
+        let is_full = matches!(&result, Err(EdgeError::Refused { code, .. }) if code == "53300");
+        if is_full {
             node.count(crate::telemetry::Count::UpstreamsRefused);
         }
-        it
+        result
     }
 
-    /// What an operator sees of it.
+    /// Returns the status of the group for operators.
     pub fn status(&self, node: &Node, homes: Vec<Name>) -> GroupStatus {
         let now = node.now();
-        let server = |it: &Server| {
-            let view = it.view.borrow();
-            let spec = it.spec.borrow();
-            let heard_ms = view.last_contact.answered_at.map(|at| now.saturating_sub(at));
-            let near = heard_ms.is_some_and(|ms| ms < 3_000) && view.last_contact.refused_since.is_none();
+        let server = |s: &Server| {
+            let view = s.view.borrow();
+            let spec = s.spec.borrow();
+            let last_contact_ms = view.last_contact.answered_at.map(|at| now.saturating_sub(at));
+            let reachable =
+                last_contact_ms.is_some_and(|ms| ms < 3_000) && view.last_contact.refused_since.is_none();
             let role = match view.position {
-                Some(p) if near => p.role.to_string(),
+                Some(p) if reachable => p.role.to_string(),
                 _ => "unreachable".to_owned(),
             };
             ServerStatus {
@@ -474,9 +479,9 @@
                 term: view.position.map(|p| p.term).unwrap_or_default(),
                 received: view.position.map(|p| p.received).unwrap_or_default(),
                 applied: view.position.map(|p| p.applied).unwrap_or_default(),
-                last_contact_ms: heard_ms,
-                connections: it.pool.open(),
-                share: it.pool.share(),
+                last_contact_ms,
+                connections: s.pool.open(),
+                share: s.pool.share(),
                 draining: spec.draining,
             }
         };
@@ -485,72 +490,72 @@
             version: self.version.get(),
             homes,
             servers: self.servers.iter().map(server).collect(),
-            queued: self.servers.iter().map(|it| it.pool.queued() as u32).sum(),
+            queued: self.servers.iter().map(|s| s.pool.queued() as u32).sum(),
             grants: self.term_pool.borrow().remaining() as u32,
         }
     }
 
-    /// Transactions open on the primary, or requests running there.
+    /// Returns the number of requests and open transactions at the primary.
     pub fn running(&self) -> u32 {
         self.primary().map_or(0, |n| self.servers[n].pool.running() as u32)
     }
 
-    /// Takes a stream's transaction, if it has one, and marks the stream as running.
+    /// Marks a stream as running. Returns its open transaction, if any, and the notification that cancels the batch.
     pub fn begin_batch(&self, id: &StreamId) -> (Option<Box<PinnedTxn>>, Rc<Notify>) {
         let cancel = Rc::new(Notify::new());
         let mut streams = self.streams.borrow_mut();
-        let at = streams.iter().position(|it| it.0 == *id);
+        let at = streams.iter().position(|s| s.0 == *id);
         let before = at.map(|at| streams.swap_remove(at).1);
-        streams.push((id.clone(), Slot::Running(cancel.clone())));
+        streams.push((id.clone(), StreamState::Running(cancel.clone())));
         match before {
-            Some(Slot::Pinned(it)) => (Some(it), cancel),
+            Some(StreamState::Pinned(txn)) => (Some(txn), cancel),
             _ => (None, cancel),
         }
     }
 
-    /// A stream's batch has ended; its transaction, if it goes on, is kept.
+    /// Ends a stream's batch and keeps its transaction, if one is still open.
     ///
-    /// Hands the transaction back when the stream was closed meanwhile.
+    /// Returns the transaction if the stream has been closed in the meantime.
     pub fn end_batch(&self, id: &StreamId, pinned: Option<Box<PinnedTxn>>) -> Option<Box<PinnedTxn>> {
         let mut streams = self.streams.borrow_mut();
-        let Some(at) = streams.iter().position(|it| it.0 == *id) else { return pinned };
+        let Some(at) = streams.iter().position(|s| s.0 == *id) else { return pinned };
         streams.swap_remove(at);
-        if let Some(it) = pinned {
-            streams.push((id.clone(), Slot::Pinned(it)));
+        if let Some(txn) = pinned {
+            streams.push((id.clone(), StreamState::Pinned(txn)));
         }
         drop(streams);
         self.changed.notify_waiters();
         None
     }
 
-    /// Closes a stream: its transaction is rolled back, what runs is cancelled.
+    /// Closes a stream: rolls back its transaction, or cancels its running batch.
     pub fn close_stream(&self, id: &StreamId) {
         let mut streams = self.streams.borrow_mut();
-        let Some(at) = streams.iter().position(|it| it.0 == *id) else { return };
-        let (_, slot) = streams.swap_remove(at);
+        let Some(at) = streams.iter().position(|s| s.0 == *id) else { return };
+        let (_, state) = streams.swap_remove(at);
         drop(streams);
-        match slot {
-            // The connection is dropped with its transaction, which the server rolls back.
-            Slot::Pinned(it) => drop(it),
-            Slot::Running(cancel) => cancel.notify_one(),
+        match state {
+            // The server rolls the transaction back when its connection is closed.
+            StreamState::Pinned(txn) => drop(txn),
+            StreamState::Running(cancel) => cancel.notify_one(),
         }
         self.changed.notify_waiters();
     }
 
-    /// Cancels what a stream runs.
+    /// Cancels the running batch of a stream.
     pub fn cancel(&self, id: &StreamId) {
         let streams = self.streams.borrow();
-        if let Some((_, Slot::Running(cancel))) = streams.iter().find(|it| it.0 == *id) {
+        if let Some((_, StreamState::Running(cancel))) = streams.iter().find(|s| s.0 == *id) {
             cancel.notify_one();
         }
     }
 
-    /// Closes all streams of an instance that is gone.
+    /// Closes all streams of an instance whose connection was lost.
     pub fn close_streams_of(&self, origin: &Name) {
         let ids: Vec<StreamId> =
-            self.streams.borrow().iter().filter(|it| it.0.0 == *origin).map(|it| it.0.clone()).collect();
-        for it in ids {
-            self.close_stream(&it);
+            self.streams.borrow().iter().filter(|s| s.0.0 == *origin).map(|s| s.0.clone()).collect();
+        for id in ids {
+            self.close_stream(&id);
         }
     }
 }
