--- a/crates/pondtrackd/src/home/barrier.rs
+++ b/crates/pondtrackd/src/home/barrier.rs
@@ -1,9 +1,9 @@
-//! Rounds that ask a majority for the term and the primary for its position.
+//! Barrier: rounds that query a majority for its term, and the primary for its log position.
 //!
-//! A session that may have written elsewhere needs all that was acknowledged before it began. One round,
-//! begun after its arrival, tells: if a majority still names the primary's term, nothing was
-//! acknowledged in a higher one, and the primary's position covers everything before. Sessions that
-//! arrive while a round is out share the next one.
+//! A session that may have written through another instance must see all writes that were acknowledged before the session
+//! began. A round that begins after the request for it covers them: if a majority still reports the term of the primary,
+//! nothing was acknowledged in a higher term, and the position of the primary covers all earlier writes. Requests that
+//! arrive during a round share the next one.
 
 use {
     super::{Home, ORDER_TIMEOUT},
@@ -14,58 +14,61 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// The rounds of one group.
+/// Barrier of one group.
 #[derive(Default)]
 pub struct Barrier {
+    /// True while rounds are running.
     running: RefCell<bool>,
-    waiting: RefCell<Vec<oneshot::Sender<Option<LogPosition>>>>,
+    /// Waiters of the next round.
+    waiters: RefCell<Vec<oneshot::Sender<Option<LogPosition>>>>,
 }
 
-/// The position that covers all that was acknowledged before the call; none when no majority answers.
+/// Returns the position that covers all writes acknowledged before the call; none if no majority answers.
 pub async fn wait(node: &Rc<Node>, home: &Rc<Home>) -> Option<LogPosition> {
     let (send, receive) = oneshot::channel();
-    home.barrier.waiting.borrow_mut().push(send);
+    home.barrier.waiters.borrow_mut().push(send);
     if !*home.barrier.running.borrow() {
         *home.barrier.running.borrow_mut() = true;
-        tokio::task::spawn_local(rounds(node.clone(), home.clone()));
+        tokio::task::spawn_local(run_rounds(node.clone(), home.clone()));
     }
     receive.await.ok().flatten()
 }
 
-async fn rounds(node: Rc<Node>, home: Rc<Home>) {
+/// Runs rounds until no waiters are left.
+async fn run_rounds(node: Rc<Node>, home: Rc<Home>) {
     loop {
-        // Only those that wait already may share the round that begins now.
-        let waiting: Vec<_> = home.barrier.waiting.borrow_mut().drain(..).collect();
-        if waiting.is_empty() {
+        // Only the waiters that are registered before a round begins may share the round.
+        let waiters: Vec<_> = home.barrier.waiters.borrow_mut().drain(..).collect();
+        if waiters.is_empty() {
             *home.barrier.running.borrow_mut() = false;
             return;
         }
         let mark = run_round(&node, &home).await;
-        for it in waiting {
-            let _ = it.send(mark);
+        for waiter in waiters {
+            let _ = waiter.send(mark);
         }
     }
 }
 
-/// One round.
+/// Runs one round.
 async fn run_round(node: &Rc<Node>, home: &Rc<Home>) -> Option<LogPosition> {
     node.count(Count::Barriers);
     let quorum = home.spec.borrow().majority();
     let (send, mut receive) = mpsc::unbounded_channel();
     for n in 0..home.servers.len() {
         let (node, home, send) = (node.clone(), home.clone(), send.clone());
-        // Each question runs to its end, so that a slow server's connection is not lost with the round.
+        // Each order runs to its end, so that the connection of a slow server isn't closed at the end of the round.
         tokio::task::spawn_local(async move {
-            if let Ok(it) = home.order(&node, n, Order::Position, ORDER_TIMEOUT).await {
-                let _ = send.send(it);
+            if let Ok(position) = home.order(&node, n, Order::Position, ORDER_TIMEOUT).await {
+                let _ = send.send(position);
             }
         });
     }
     drop(send);
     let mut answers = Vec::new();
-    while let Some(it) = receive.recv().await {
-        answers.push(it);
-        let mark = judge(&answers, quorum);
+    while let Some(position) = receive.recv().await {
+        answers.push(position);
+        let mark = quorum_position(&answers, quorum);
         if mark.is_some() {
             return mark;
         }
@@ -73,10 +76,10 @@
     None
 }
 
-/// The position shown by the primary of a term that a majority names.
-fn judge(answers: &[Position], quorum: usize) -> Option<LogPosition> {
-    let term: Term = answers.iter().map(|it| it.term).max()?;
-    let agree = answers.iter().filter(|it| it.term == term).count();
-    let primary = answers.iter().find(|it| it.role == Role::Primary && it.term == term)?;
-    (agree >= quorum).then_some(LogPosition { term, lsn: primary.received.lsn })
+/// Returns the position of the primary of the highest reported term, if a majority reports that term.
+fn quorum_position(answers: &[Position], quorum: usize) -> Option<LogPosition> {
+    let term: Term = answers.iter().map(|p| p.term).max()?;
+    let count = answers.iter().filter(|p| p.term == term).count();
+    let primary = answers.iter().find(|p| p.role == Role::Primary && p.term == term)?;
+    (count >= quorum).then_some(LogPosition { term, lsn: primary.received.lsn })
 }
--- a/crates/pondtrackd/src/home/exec/write.rs
+++ b/crates/pondtrackd/src/home/exec/write.rs
@@ -1,112 +1,116 @@
-//! Writes outside a transaction, and the gate that every answer of the primary passes.
+//! Writes outside transactions, and the commit gate that every answer of the primary passes.
 
 use {
-    super::{ATTEMPTS, BACKOFF, BatchError, BatchResult, Exchange, PinnedTxn, Task, give, same_primary},
+    super::{
+        BACKOFF, BatchError, BatchResult, Exchange, Execution, MAX_ATTEMPTS, PinnedTxn, confirmed_position,
+        finish_on_primary,
+    },
     crate::home::{AckOutcome, pool::PooledConn, request_ledger},
     pondtrack_core::retry::Backoff,
     pondtrack_edge::contract::{Order, Role},
     pondtrack_proto::{Class, Name, TxnState},
 };
 
-impl Task<'_> {
-    /// Anything outside a transaction that needs the primary.
+impl Execution<'_> {
+    /// Executes a request outside a transaction that needs the primary, with retries.
     pub(super) async fn write(&self) -> (Result<BatchResult, BatchError>, Option<Box<PinnedTxn>>) {
-        let issued = match self.req.key.as_ref().map(request_ledger::check).transpose() {
-            Ok(it) => it,
+        let issued = match self.req.key.as_ref().map(request_ledger::validate).transpose() {
+            Ok(issued) => issued,
             Err(e) => return (Err(e), None),
         };
-        let mut last =
+        let mut last_error =
             BatchError::Retryable { reason: "the group has no usable primary".into(), server: None };
         let mut backoff = Backoff::new(BACKOFF.0, BACKOFF.1);
-        for attempt in 0..ATTEMPTS {
-            if attempt > 0 && !self.may_retry(&mut backoff, false).await {
+        for attempt in 0..MAX_ATTEMPTS {
+            if attempt > 0 && !self.wait_for_retry(&mut backoff, false).await {
                 break;
             }
-            let out = match (&self.req.key, issued, self.req.class) {
+            let result = match (&self.req.key, issued, self.req.class) {
                 (Some(key), Some(issued), Class::Write) => (self.write_keyed(key, issued).await, None),
                 (Some(key), Some(issued), Class::Begin) => self.begin_keyed(key, issued).await,
                 _ => self.write_plain().await,
             };
-            let keyed = self.req.key.is_some() && self.req.class == Class::Write;
-            match out.0 {
-                Err(fail @ BatchError::Retryable { .. }) if self.node.now() < self.deadline => last = fail,
-                // A repeat meets the ledger, so a keyed request may be sent twice.
-                Err(fail @ BatchError::Indeterminate { .. }) if keyed && self.node.now() < self.deadline => {
-                    last = fail
+            let is_keyed = self.req.key.is_some() && self.req.class == Class::Write;
+            match result.0 {
+                Err(e @ BatchError::Retryable { .. }) if self.node.now() < self.deadline => last_error = e,
+                // The ledger detects a repeat, so a request with a key may be sent twice.
+                Err(e @ BatchError::Indeterminate { .. }) if is_keyed && self.node.now() < self.deadline => {
+                    last_error = e
                 }
-                _ => return out,
+                _ => return result,
             }
         }
-        (Err(last), None)
+        (Err(last_error), None)
     }
 
+    /// Executes a request without a request key.
     pub(super) async fn write_plain(&self) -> (Result<BatchResult, BatchError>, Option<Box<PinnedTxn>>) {
-        let (server, mut lease) = match self.acquire_primary().await {
-            Ok(it) => it,
+        let (server, mut conn) = match self.acquire_primary().await {
+            Ok(acquired) => acquired,
             Err(e) => return (Err(e), None),
         };
-        let it = match self.run(&mut lease, Some(Order::Position), &self.req.frames, &[]).await {
-            Ok(it) => it,
-            Err(BatchError::Indeterminate { reason, .. }) if !self.lasts() => {
-                // Nothing was committed: the server rolls back what its connection's end leaves open.
+        let exchange = match self.run_batch(&mut conn, Some(Order::Position), &self.req.frames, &[]).await {
+            Ok(exchange) => exchange,
+            Err(BatchError::Indeterminate { reason, .. }) if !self.has_effects() => {
+                // Nothing was committed: the server rolls back the open transaction when the connection ends.
                 return (Err(BatchError::Retryable { reason, server: None }), None);
             }
             Err(BatchError::Indeterminate { reason, before: Some(before) }) => {
-                drop(lease);
+                drop(conn);
                 return (self.resolve_unanswered(reason, before).await, None);
             }
             Err(e) => return (Err(e), None),
         };
-        self.acknowledge(server, lease, it, None).await
+        self.acknowledge(server, conn, exchange, None).await
     }
 
-    /// Whether the request may leave something behind when it has run.
-    pub(super) fn lasts(&self) -> bool {
+    /// Returns true if the request may have a lasting effect.
+    pub(super) fn has_effects(&self) -> bool {
         !matches!(self.req.class, Class::Begin | Class::Rollback)
     }
 
-    /// Holds an answer until a majority has what it stands for.
+    /// Delays an answer until a majority holds the log up to its position.
     pub(super) async fn acknowledge(
         &self,
         server: usize,
-        lease: PooledConn,
-        it: Exchange,
+        conn: PooledConn,
+        exchange: Exchange,
         key: Option<Name>,
     ) -> (Result<BatchResult, BatchError>, Option<Box<PinnedTxn>>) {
-        let failed = it.answer.error.is_some();
-        let txn = it.answer.txn;
-        if let (Some(before), Some(_)) = (it.before, it.after)
+        let failed = exchange.answer.error.is_some();
+        let txn = exchange.answer.txn;
+        if let (Some(before), Some(_)) = (exchange.before, exchange.after)
             && before.role != Role::Primary
         {
-            // It ran on a server that was no primary, which takes no writes.
+            // The server was not a primary, and such a server rejects writes.
             return (
                 Err(BatchError::Retryable { reason: "the primary was superseded".into(), server: None }),
                 None,
             );
         }
-        let Some(shown) = same_primary(&it) else {
-            let out = match self.lasts() && !failed {
-                true => self.resolve(it).await,
+        let Some(position) = confirmed_position(&exchange) else {
+            let result = match self.has_effects() && !failed {
+                true => self.resolve_commit(exchange).await,
                 false => {
                     Err(BatchError::Retryable { reason: "the primary was superseded".into(), server: None })
                 }
             };
-            return (out, None);
+            return (result, None);
         };
-        match self.home.wait_for_quorum(self.node, shown, self.deadline).await {
-            AckOutcome::Committed => give(server, lease, it.answer, shown, key),
+        match self.home.wait_for_quorum(self.node, position, self.deadline).await {
+            AckOutcome::Committed => finish_on_primary(server, conn, exchange.answer, position, key),
             AckOutcome::Superseded | AckOutcome::TimedOut
-                if txn != TxnState::Idle || failed || !self.lasts() =>
+                if txn != TxnState::Idle || failed || !self.has_effects() =>
             {
                 (
                     Err(BatchError::Retryable { reason: "the primary was superseded".into(), server: None }),
                     None,
                 )
             }
-            AckOutcome::Superseded => (self.resolve(it).await, None),
+            AckOutcome::Superseded => (self.resolve_commit(exchange).await, None),
             AckOutcome::TimedOut => {
                 let reason = "no majority of servers received the write in time".into();
-                (Err(BatchError::Indeterminate { reason, before: it.before }), None)
+                (Err(BatchError::Indeterminate { reason, before: exchange.before }), None)
             }
         }
     }
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -38,8 +38,8 @@
 const REJOIN_DELAY_MS: u64 = 300;
 /// Interval between two checks for the rejoining of a server that was ordered to follow.
 const REJOIN_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum number of these checks. After ten seconds a server that can't be reached is considered lost; once it is reachable again,
-/// it is ordered to follow once more.
+/// Maximum number of these checks. After ten seconds a server that can't be reached is considered lost; once the server is
+/// reachable again, it is ordered to follow once more.
 const MAX_REJOIN_CHECKS: usize = 20;
 /// Time for which a server may have a higher term than the primary before the primary is promoted again in a new term, in
 /// milliseconds; multiplied by the rank of the home plus one.
--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -157,7 +157,7 @@
     streams: RefCell<Vec<(StreamId, StreamState)>>,
 }
 
-/// Identity of a session's stream: the instance of the session, and the number of the stream at that instance.
+/// Identity of a session's stream: its origin (this instance, or a connection from another one) and its number there.
 pub type StreamId = (Name, u64);
 
 /// State of a stream at the home.
@@ -419,7 +419,7 @@
     ) -> Result<Position, EdgeError> {
         node.count(crate::telemetry::Count::ServerOrders);
         let mut control = self.servers[server].control.lock().await;
-        // The connection is taken out while in use: the answer of a cancelled exchange must not be read by the next one.
+        // Taken out of its place while in use: the answer of a cancelled exchange must not be read by the next one.
         let mut conn = match control.take() {
             Some(conn) if !conn.is_stale() => conn,
             _ => self.connect(node, server, limit).await?,
@@ -550,7 +550,7 @@
         }
     }
 
-    /// Closes all streams of an instance whose connection was lost.
+    /// Closes all streams of an origin whose connection was lost.
     pub fn close_streams_of(&self, origin: &Name) {
         let ids: Vec<StreamId> =
             self.streams.borrow().iter().filter(|s| s.0.0 == *origin).map(|s| s.0.clone()).collect();
--- a/crates/pondtrackd/src/home/monitor.rs
+++ b/crates/pondtrackd/src/home/monitor.rs
@@ -1,8 +1,8 @@
-//! Watching one server: one question is always outstanding, answered at once when something changes.
+//! Monitoring of one server by long polls: one poll is always outstanding, and is answered immediately on a change.
 //!
-//! How long an unchanged server may keep a question decides both the cost of watching and how soon a
-//! silent server is noticed. Only the first home watches the primary closely; the others and all
-//! replicas are asked rarely, as a change ends the wait anyway.
+//! The wait of a poll on an unchanged server decides both the cost of monitoring and the time in which a silent server is
+//! detected. Only the first home polls the primary at a short interval. The other homes, and the polls of replicas, use
+//! long waits, as a change ends a wait early anyway.
 
 use {
     super::Home,
@@ -17,31 +17,30 @@
     tokio::time::{sleep, timeout},
 };
 
-/// The longest wait of a question to the primary from other homes than the first, as a multiple of the
-/// setting.
-const DISTANT: u32 = 3;
-/// The longest wait of a question to a replica, as a multiple of the setting.
-const REPLICA: u32 = 7;
-/// The longest time between two answers of a healthy server, beyond the wait itself, in milliseconds.
-const SLACK: u64 = 100;
-/// Extra time for an answer.
-const GRACE: u64 = 400;
-/// Time to open the connection.
-const OPEN_LIMIT: Duration = Duration::from_millis(300);
-/// Least time between two answers while no acknowledgement waits for them, in milliseconds.
-const CALM: u64 = 20;
+/// Longest wait of a poll of the primary by homes other than the first, as a multiple of the setting.
+const SECONDARY_HOME_FACTOR: u32 = 3;
+/// Longest wait of a poll of a replica, as a multiple of the setting.
+const REPLICA_FACTOR: u32 = 7;
+/// Longest time between two answers of a healthy server beyond the wait of the poll, in milliseconds.
+const SILENCE_MARGIN_MS: u64 = 100;
+/// Time limit of the answer to a poll beyond its wait, in milliseconds.
+const POLL_MARGIN_MS: u64 = 400;
+/// Time limit for opening the connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Pause between an answer and the next poll while no acknowledgement is waiting, in milliseconds.
+const IDLE_PAUSE_MS: u64 = 20;
 
-/// Watches a server for the life of its home.
+/// Monitors a server until its home is closed.
 pub async fn run(node: Rc<Node>, home: Rc<Home>, server: usize) {
     let mut backoff = Backoff::new(20, 200);
     while !home.closing.get() {
-        match home.connect(&node, server, OPEN_LIMIT).await {
+        match home.connect(&node, server, CONNECT_TIMEOUT).await {
             Ok(conn) => {
                 backoff.reset();
-                let why = watch(&node, &home, server, conn).await;
-                log::debug!(step = "watch", peer = home.servers[server].spec.borrow().name.as_str(); "{why}");
+                let reason = poll(&node, &home, server, conn).await;
+                log::debug!(step = "watch", peer = home.servers[server].spec.borrow().name.as_str(); "{reason}");
                 home.servers[server].pool.clear();
-                refused(&node, &home, server);
+                record_refusal(&node, &home, server);
             }
             Err(e) => {
                 record_connect_error(&node, &home, server, &e);
@@ -52,36 +51,36 @@
     }
 }
 
-/// The longest wait of a question, in milliseconds.
-fn longest_wait(node: &Node, home: &Home, leads: bool) -> u32 {
-    let factor = match (leads, home.rank.get()) {
+/// Returns the longest wait of a poll, in milliseconds.
+fn max_wait_ms(node: &Node, home: &Home, is_primary: bool) -> u32 {
+    let factor = match (is_primary, home.rank.get()) {
         (true, 0) => 1,
-        (true, _) => DISTANT,
-        (false, _) => REPLICA,
+        (true, _) => SECONDARY_HOME_FACTOR,
+        (false, _) => REPLICA_FACTOR,
     };
     node.settings.watch_ms * factor
 }
 
-/// How long a healthy server may stay max_silence_ms, in milliseconds.
-pub fn max_silence_ms(node: &Node, home: &Home, leads: bool) -> u64 {
-    let wait = longest_wait(node, home, leads);
-    (u64::from(wait) + SLACK).max(node.settings.silence_ms)
+/// Returns the longest time between two answers of a healthy server, in milliseconds.
+pub fn max_silence_ms(node: &Node, home: &Home, is_primary: bool) -> u64 {
+    let wait = max_wait_ms(node, home, is_primary);
+    (u64::from(wait) + SILENCE_MARGIN_MS).max(node.settings.silence_ms)
 }
 
-/// Takes note of a failed try to open a connection.
+/// Records a failed attempt to open a connection.
 pub fn record_connect_error(node: &Node, home: &Home, server: usize, e: &EdgeError) {
-    if is_gone(e) {
-        refused(node, home, server);
+    if is_connection_refused(e) {
+        record_refusal(node, home, server);
     }
 }
 
-/// Whether the error tells that nothing listens there, rather than that nothing was heard.
-fn is_gone(e: &EdgeError) -> bool {
+/// Returns true if nothing listens at the address; a timeout, for example, isn't such a refusal.
+fn is_connection_refused(e: &EdgeError) -> bool {
     matches!(e, EdgeError::Io { source, .. } if source.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// The server's address refused, or its connection broke; the first time counts.
-fn refused(node: &Node, home: &Home, server: usize) {
+/// Records that the server refused a connection, or that its connection broke; the time of the first event is kept.
+fn record_refusal(node: &Node, home: &Home, server: usize) {
     let mut view = home.servers[server].view.borrow_mut();
     if view.last_contact.refused_since.is_none() {
         view.last_contact.refused_since = Some(node.now());
@@ -90,31 +89,32 @@
     }
 }
 
-async fn watch(node: &Rc<Node>, home: &Rc<Home>, server: usize, mut conn: Upstream) -> String {
-    let mut known = (Term(0), Lsn(0), Lsn(0));
+/// Polls a server over a connection; returns the reason for which polling ended.
+async fn poll(node: &Rc<Node>, home: &Rc<Home>, server: usize, mut conn: Upstream) -> String {
+    let mut last_seen = (Term(0), Lsn(0), Lsn(0));
     let mut first = true;
     while !home.closing.get() {
-        let leads = home.primary() == Some(server);
-        let wait = if first { 0 } else { longest_wait(node, home, leads) };
-        // Each commit tells the primary's position; only a change of term or role matters here.
-        let (received, applied) = if leads { (ANY, ANY) } else { (known.1, known.2) };
-        let order = Order::Watch { term: known.0, received, applied, ms: wait };
-        let limit = Duration::from_millis(u64::from(wait) + GRACE);
+        let is_primary = home.primary() == Some(server);
+        let wait = if first { 0 } else { max_wait_ms(node, home, is_primary) };
+        // Commits report the position of the primary, so only a change of its term or role has to end the wait.
+        let (received, applied) = if is_primary { (ANY, ANY) } else { (last_seen.1, last_seen.2) };
+        let order = Order::Watch { term: last_seen.0, received, applied, ms: wait };
+        let limit = Duration::from_millis(u64::from(wait) + POLL_MARGIN_MS);
         let sent = node.now();
         node.count(Count::ServerOrders);
-        let before = conn.traffic;
+        let traffic_before = conn.traffic;
         let answer = conn.order(order, limit).await;
-        node.counters.add(Count::ServerOrderBytes, conn.traffic - before);
+        node.counters.add(Count::ServerOrderBytes, conn.traffic - traffic_before);
         let position = match answer {
-            Ok(it) => it,
+            Ok(position) => position,
             Err(e) => return e.to_string(),
         };
         first = false;
-        known = (position.term, position.received.lsn, position.applied);
+        last_seen = (position.term, position.received.lsn, position.applied);
         home.observe(node, server, position, sent);
         if home.gate.borrow().pending() == 0 {
-            let wanted = home.ack_requested.notified();
-            let _ = timeout(Duration::from_millis(CALM), wanted).await;
+            let ack_requested = home.ack_requested.notified();
+            let _ = timeout(Duration::from_millis(IDLE_PAUSE_MS), ack_requested).await;
         }
     }
     "no longer a home".to_owned()
--- a/crates/pondtrackd/src/home/request_ledger.rs
+++ b/crates/pondtrackd/src/home/request_ledger.rs
@@ -1,7 +1,7 @@
-//! Requests that run once at most.
+//! Ledger of request keys, for requests that run at most once.
 //!
-//! The key goes into the ledger in the same transaction as the work. Whoever comes second, be it a
-//! repeat or a retry of ours, meets a unique violation and gets the recorded outcome.
+//! The key is inserted into the ledger in the transaction of the work. A second execution, either a repeat by the caller
+//! or a retry by pondtrack, fails with a unique violation and returns the recorded outcome.
 
 use {
     super::exec::{BatchError, BatchResult},
@@ -17,43 +17,47 @@
 };
 
 /// SQLSTATE of a unique violation.
-pub const DUPLICATE: &str = "23505";
+pub const UNIQUE_VIOLATION: &str = "23505";
 /// SQLSTATE of a missing table.
-pub const NO_TABLE: &str = "42P01";
+pub const UNDEFINED_TABLE: &str = "42P01";
 /// SQLSTATE of the notice with a recorded outcome.
-pub const REPEATED: &str = "PT005";
+pub const REPEATED_NOTICE: &str = "PT005";
 
-/// What the ledger holds of a key.
+/// Record of a key in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Recorded {
-    /// The fingerprint of the request.
-    pub request: String,
-    /// How it ended.
+pub struct LedgerRecord {
+    /// Fingerprint of the request.
+    pub fingerprint: String,
+    /// Command tag of the outcome; empty if none is recorded.
     pub tag: String,
 }
 
-/// Checks a request's key; hands back its time of issue.
-pub fn check(key: &Name) -> Result<u64, BatchError> {
+/// Validates a request's key and returns its time of issue, in milliseconds since the Unix epoch.
+///
+/// # Errors
+///
+/// A final outcome with the reason if the key is not accepted.
+pub fn validate(key: &Name) -> Result<u64, BatchError> {
     request_key::validate(key, epoch_ms())
         .map_err(|e| BatchError::Final(Outcome::Key { reason: e.to_string().into() }))
 }
 
-/// The queries around a keyed batch: before it, with the number of their answers.
-pub fn before(key: &Name, issued: u64, frames: &[u8], out: &mut BytesMut) -> usize {
+/// Appends the queries that precede a keyed batch; returns the number of their answers.
+pub fn put_begin(key: &Name, issued: u64, frames: &[u8], out: &mut BytesMut) -> usize {
     upstream::put_query("BEGIN", out);
     upstream::put_query(&request_key::insert_sql(key, issued, &request_key::fingerprint(frames)), out);
     2
 }
 
-/// The queries that record the outcome and make it last.
-pub fn after(key: &Name, tag: &str, out: &mut BytesMut) -> usize {
+/// Appends the queries that record the outcome and commit; returns the number of their answers.
+pub fn put_commit(key: &Name, tag: &str, out: &mut BytesMut) -> usize {
     upstream::put_query(&request_key::record_outcome_sql(key, tag), out);
     upstream::put_query("COMMIT", out);
     2
 }
 
-/// The command tag of an answer.
-pub fn tag(answer: &Answer) -> String {
+/// Returns the last command tag of an answer; empty if there is none.
+pub fn command_tag(answer: &Answer) -> String {
     let last = Frames::new(&answer.frames).filter(|(tag, _)| *tag == b'C').last();
     let text = last.and_then(|(_, range)| {
         let body = &answer.frames[range.start + 5..range.end.saturating_sub(1)];
@@ -62,28 +66,32 @@
     text.unwrap_or_default()
 }
 
-/// Reads the answer to [`request_key::select_sql`].
-pub fn recorded(answer: &Answer) -> Option<Recorded> {
+/// Parses the answer to [`request_key::select_sql`]; returns none if the ledger doesn't hold the key.
+pub fn parse_record(answer: &Answer) -> Option<LedgerRecord> {
     let (_, range) = Frames::new(&answer.frames).find(|(tag, _)| *tag == b'D')?;
     let cells = columns(&answer.frames[range]);
-    let text = |n: usize| cells.get(n)?.as_ref().map(|it| String::from_utf8_lossy(it).into_owned());
-    Some(Recorded { request: text(0)?, tag: text(1).unwrap_or_default() })
+    let text = |n: usize| cells.get(n)?.as_ref().map(|c| String::from_utf8_lossy(c).into_owned());
+    Some(LedgerRecord { fingerprint: text(0)?, tag: text(1).unwrap_or_default() })
 }
 
-/// The answer to a repeat, shaped as its messages ask for.
-pub fn repeat(frames: &[u8], recorded: &Recorded) -> Vec<u8> {
+/// Returns the answer to a repeated request, in the form that its messages require.
+pub fn replay_answer(frames: &[u8], record: &LedgerRecord) -> Vec<u8> {
     let mut out = BytesMut::new();
-    answer::put_notice(REPEATED, "this request ran before; its recorded outcome follows", &mut out);
-    batch::shape(frames, &recorded.tag, None, &mut out);
+    answer::put_notice(REPEATED_NOTICE, "this request ran before; its recorded outcome follows", &mut out);
+    batch::shape(frames, &record.tag, None, &mut out);
     answer::put_ready(TxnState::Idle, &mut out);
     out.to_vec()
 }
 
-/// Judges a recorded outcome against the request that met it.
-pub fn settle(frames: &[u8], found: &Recorded) -> Result<BatchResult, BatchError> {
-    if found.request != request_key::fingerprint(frames) {
+/// Returns the recorded outcome for a repeated request.
+///
+/// # Errors
+///
+/// A final outcome if the record belongs to another request.
+pub fn replay(frames: &[u8], record: &LedgerRecord) -> Result<BatchResult, BatchError> {
+    if record.fingerprint != request_key::fingerprint(frames) {
         let reason = "the request key was used for another request".into();
         return Err(BatchError::Final(Outcome::Key { reason }));
     }
-    Ok(BatchResult::repeated(repeat(frames, found)))
+    Ok(BatchResult::repeated(replay_answer(frames, record)))
 }
