--- a/crates/pondtrackd/src/home/barrier.rs
+++ b/crates/pondtrackd/src/home/barrier.rs
@@ -1,9 +1,9 @@
 //! Barrier: rounds that query a majority for its term, and the primary for its log position.
 //!
-//! A session that may have written through another instance must see all writes that were acknowledged before the session
-//! began. A round that begins after the request for it covers them: if a majority still reports the term of the primary,
-//! nothing was acknowledged in a higher term, and the position of the primary covers all earlier writes. Requests that
-//! arrive during a round share the next one.
+//! A session that may have written through another instance must see all writes that were acknowledged before the
+//! session began. A round that begins after the request for it covers them: if a majority still reports the term of the
+//! primary, nothing was acknowledged in a higher term, and the position of the primary covers all earlier writes.
+//! Requests that arrive during a round share the next one.
 
 use {
     super::{Home, ORDER_TIMEOUT},
--- a/crates/pondtrackd/src/home/exec/mod.rs
+++ b/crates/pondtrackd/src/home/exec/mod.rs
@@ -1,8 +1,8 @@
 //! Execution of a request, from arrival to answer.
 //!
-//! Every batch is sent between two queries for the server's position, in one round trip. The two positions decide if the
-//! answer may be returned: a replica must have reached the session's mark in its term, a primary must lead the same term
-//! before and after, and a majority must hold the log up to the position of the answer.
+//! Every batch is sent between two queries for the server's position, in one round trip. The two positions decide if
+//! the answer may be returned: a replica must have reached the session's mark in its term, a primary must lead the same
+//! term before and after, and a majority must hold the log up to the position of the answer.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -138,7 +138,8 @@
         (None, Class::Read) => (execution.read().await, None),
         (None, _) => execution.write().await,
     };
-    // If the session has been closed in the meantime, the connection is dropped and the server rolls the transaction back.
+    // If the session has been closed in the meantime, the connection is dropped and the server rolls the transaction
+    // back.
     drop(home.end_batch(&id, open_txn));
     let reply = into_reply(node, home, &req, result);
     tracing::debug!(trace = req.trace, served = %reply.served, took_ms = node.now() - started_at, "home answered");
@@ -287,8 +288,8 @@
         Ok(Exchange { before, extra, answer, after })
     }
 
-    /// Runs queries of pondtrack itself, between two queries for the position. The last of their answers becomes the answer
-    /// of the exchange.
+    /// Runs queries of pondtrack itself, between two queries for the position. The last of their answers becomes the
+    /// answer of the exchange.
     async fn run_queries(
         &self,
         conn: &mut PooledConn,
@@ -309,8 +310,8 @@
         Ok(Exchange { before, extra, answer, after })
     }
 
-    /// Sends messages and reads `n` answers, until the deadline of the request. A cancellation by the caller is passed on
-    /// to the server.
+    /// Sends messages and reads `n` answers, until the deadline of the request. A cancellation by the caller is passed
+    /// on to the server.
     ///
     /// # Errors
     ///
@@ -342,7 +343,8 @@
                 let peer = self.home.group.clone();
                 let bind = self.node.settings.bind;
                 let _ = upstream::cancel(bind, addr, key.clone(), CANCEL_TIMEOUT, &peer).await;
-                // The server answers with an error, or with the result if the batch ended before the cancel request arrived.
+                // The server answers with an error, or with the result if the batch ended before the cancel request
+                // arrived.
                 timeout(self.left(), &mut work).await
             }
         };
@@ -360,8 +362,8 @@
         }
     }
 
-    /// Waits until another server is the primary of a later term: this server won't answer any more. Waits forever if no
-    /// position is known.
+    /// Waits until another server is the primary of a later term: this server won't answer any more. Waits forever if
+    /// no position is known.
     async fn superseded(&self, server: usize, before: Option<Position>) {
         let Some(before) = before else { return std::future::pending().await };
         loop {
--- a/crates/pondtrackd/src/home/exec/read.rs
+++ b/crates/pondtrackd/src/home/exec/read.rs
@@ -49,7 +49,8 @@
         Err(BatchError::Retryable { reason: "no server could answer the read in time".into(), server: None })
     }
 
-    /// Returns the position that covers all writes acknowledged before the call, from a barrier. Retries until the deadline.
+    /// Returns the position that covers all writes acknowledged before the call, from a barrier. Retries until the
+    /// deadline.
     pub(super) async fn barrier(&self) -> Result<LogPosition, BatchError> {
         loop {
             let left = self.left();
@@ -109,13 +110,12 @@
         let retryable = |reason: Name| BatchError::Retryable { reason, server: Some(server) };
         let mut conn = self.acquire(server).await.map_err(|e| retryable(e.reason))?;
         let order = Order::Wait { mark, ms: wait as u32 };
-        let exchange = self.run_batch(&mut conn, Some(order), &self.req.frames, &[]).await.map_err(
-            |fail| match fail {
+        let exchange =
+            self.run_batch(&mut conn, Some(order), &self.req.frames, &[]).await.map_err(|e| match e {
                 // A read has no effect, so a retry is safe even if it was executed.
                 BatchError::Indeterminate { reason, .. } => retryable(reason),
                 other => other,
-            },
-        )?;
+            })?;
         let (Some(before), Some(after)) = (exchange.before, exchange.after) else {
             return Err(retryable("the server shows no position".into()));
         };
--- a/crates/pondtrackd/src/home/exec/resolve.rs
+++ b/crates/pondtrackd/src/home/exec/resolve.rs
@@ -22,7 +22,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Execution<'_> {
-    /// Determines the outcome of a commit that was answered, but whose term ended before a majority was known to hold it.
+    /// Determines the outcome of a commit that was answered, but whose term ended before a majority was known to hold
+    /// it.
     ///
     /// The log of the next primary is final: it holds the commit or never will.
     pub(super) async fn resolve_commit(&self, exchange: Exchange) -> Result<BatchResult, BatchError> {
@@ -54,8 +55,8 @@
 
     /// Determines the outcome of a commit that was never answered.
     ///
-    /// The commit can only have survived if the log of the next primary, which is final, holds an entry of its term after
-    /// the position known before it was sent; without such an entry the commit did not run.
+    /// The commit can only have survived if the log of the next primary, which is final, holds an entry of its term
+    /// after the position known before it was sent; without such an entry the commit did not run.
     pub(super) async fn resolve_unanswered(
         &self,
         reason: Name,
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -38,11 +38,11 @@
 const REJOIN_DELAY_MS: u64 = 300;
 /// Interval between two checks for the rejoining of a server that was ordered to follow.
 const REJOIN_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum number of these checks. After ten seconds a server that can't be reached is considered lost; once the server is
-/// reachable again, it is ordered to follow once more.
+/// Maximum number of these checks. After ten seconds a server that can't be reached is considered lost; once the server
+/// is reachable again, it is ordered to follow once more.
 const MAX_REJOIN_CHECKS: usize = 20;
-/// Time for which a server may have a higher term than the primary before the primary is promoted again in a new term, in
-/// milliseconds; multiplied by the rank of the home plus one.
+/// Time for which a server may have a higher term than the primary before the primary is promoted again in a new term,
+/// in milliseconds; multiplied by the rank of the home plus one.
 const STRANDED_DELAY_MS: u64 = 600;
 
 /// Outcome of an order of a failover.
@@ -139,8 +139,8 @@
 
 /// Returns true if a majority has reported, and no server is the primary.
 ///
-/// Without a majority, as on an instance that has just started, nothing is known about a primary; the fences that such an
-/// instance sent would arrive as soon as the servers can be reached.
+/// Without a majority, as on an instance that has just started, nothing is known about a primary; the fences that such
+/// an instance sent would arrive as soon as the servers can be reached.
 fn is_primary_absent(home: &Home) -> bool {
     let reported = home.servers.iter().filter(|s| s.view.borrow().position.is_some()).count();
     reported >= home.spec.borrow().majority() && home.primary().is_none()
@@ -193,8 +193,8 @@
     })
 }
 
-/// Returns true if the reachable servers other than the primary form a majority. Without one, a failover that excludes the
-/// stalled primary can't succeed, and would only strand the servers that it fences.
+/// Returns true if the reachable servers other than the primary form a majority. Without one, a failover that excludes
+/// the stalled primary can't succeed, and would only strand the servers that it fences.
 fn is_majority_without_primary(node: &Node, home: &Home, primary: Option<usize>) -> bool {
     let limit = super::monitor::max_silence_ms(node, home, false);
     let reachable = |n: &usize| home.servers[*n].view.borrow().is_reachable(node.now(), limit);
@@ -225,7 +225,7 @@
     let now = node.now();
     let status = |s: &super::Server| {
         let view = s.view.borrow();
-        let heard = view
+        let answered = view
             .last_contact
             .answered_at
             .map_or("never".to_owned(), |at| format!("{} ms ago", now.saturating_sub(at)));
@@ -233,7 +233,7 @@
         let position = view
             .position
             .map_or("unknown".to_owned(), |p| format!("{} of term {} at {}", p.role, p.term, p.received));
-        format!("{}: {position}, heard {heard}{refused}", s.spec.borrow().name)
+        format!("{}: {position}, heard {answered}{refused}", s.spec.borrow().name)
     };
     let servers: Vec<String> = home.servers.iter().map(status).collect();
     let stalled = match (cause, home.stalled_since.get()) {
@@ -449,8 +449,8 @@
     report_dropped(node, home, n, before, term).await;
 }
 
-/// Logs the number of unacknowledged entries that a server drops on rejoining. The server drops them once it reaches the
-/// new primary, and may be slow or unreachable until then.
+/// Logs the number of unacknowledged entries that a server drops on rejoining. The server drops them once it reaches
+/// the new primary, and may be slow or unreachable until then.
 async fn report_dropped(node: &Rc<Node>, home: &Rc<Home>, n: usize, before: Position, term: Term) {
     for _ in 0..MAX_REJOIN_CHECKS {
         sleep(REJOIN_INTERVAL).await;
--- a/crates/pondtrackd/src/home/monitor.rs
+++ b/crates/pondtrackd/src/home/monitor.rs
@@ -1,8 +1,8 @@
 //! Monitoring of one server by long polls: one poll is always outstanding, and is answered immediately on a change.
 //!
-//! The wait of a poll on an unchanged server decides both the cost of monitoring and the time in which a silent server is
-//! detected. Only the first home polls the primary at a short interval. The other homes, and the polls of replicas, use
-//! long waits, as a change ends a wait early anyway.
+//! The wait of a poll on an unchanged server decides both the cost of monitoring and the time in which a silent server
+//! is detected. Only the first home polls the primary at a short interval. The other homes, and the polls of replicas,
+//! use long waits, as a change ends a wait early anyway.
 
 use {
     super::Home,
--- a/crates/pondtrackd/src/home/pool.rs
+++ b/crates/pondtrackd/src/home/pool.rs
@@ -101,8 +101,8 @@
         self.apply(ConnEvent::Lend);
     }
 
-    /// Returns the connection to the pool after a batch that left no transaction open, or closes the connection if the pool
-    /// has no room for it.
+    /// Returns the connection to the pool after a batch that left no transaction open, or closes the connection if the
+    /// pool has no room for it.
     pub fn release(mut self) {
         self.apply(ConnEvent::Clean);
         let pool = self.permit.pool.clone();
@@ -187,7 +187,8 @@
     ///
     /// # Errors
     ///
-    /// [`PoolError`] if admission rejects the request, the deadline passes in the queue, or no connection can be opened.
+    /// [`PoolError`] if admission rejects the request, the deadline passes in the queue, or no connection can be
+    /// opened.
     pub async fn acquire(
         self: &Rc<Pool>,
         node: &Rc<Node>,
@@ -259,7 +260,8 @@
             match home.connect(node, server, CONNECT_TIMEOUT).await {
                 Ok(conn) => return Ok(conn),
                 Err(EdgeError::Refused { code, .. }) if code == "53300" && node.now() < deadline => {
-                    // The server has no free slot until another home has closed its excess connections, which it does shortly.
+                    // The server has no free slot until another home has closed its excess connections, which it does
+                    // shortly.
                     let wait = node.with_rng(|rng| backoff.next_delay(rng));
                     sleep(Duration::from_millis(wait)).await;
                 }
--- a/crates/pondtrackd/src/home/request_ledger.rs
+++ b/crates/pondtrackd/src/home/request_ledger.rs
@@ -1,7 +1,7 @@
 //! Ledger of request keys, for requests that run at most once.
 //!
-//! The key is inserted into the ledger in the transaction of the work. A second execution, either a repeat by the caller
-//! or a retry by pondtrack, fails with a unique violation and returns the recorded outcome.
+//! The key is inserted into the ledger in the transaction of the work. A second execution, either a repeat by the
+//! caller or a retry by pondtrack, fails with a unique violation and returns the recorded outcome.
 
 use {
     super::exec::{BatchError, BatchResult},
