--- a/crates/edge/src/batch.rs
+++ b/crates/edge/src/batch.rs
@@ -47,7 +47,7 @@
     }
 
     /// Adds or replaces a statement.
-    pub fn put(&mut self, it: Statement) {
+    pub fn insert(&mut self, it: Statement) {
         match self.find(&it.name) {
             Ok(at) => self.list[at] = it,
             Err(at) => self.list.insert(at, it),
@@ -227,20 +227,20 @@
     }
 
     /// Keeps the statements whose parse the answer confirms, and forgets those that were closed.
-    pub fn keep(&self, answer: &[u8], known: &mut Statements) {
+    pub fn apply_to(&self, answer: &[u8], known: &mut Statements) {
         let parsed = Frames::new(answer).filter(|it| it.0 == b'1').count();
         for it in &self.closed {
             known.remove(it);
         }
         for (number, it) in &self.prepared {
             if *number < parsed {
-                known.put(it.clone());
+                known.insert(it.clone());
             }
         }
     }
 
     /// Takes the answers to added messages out of an answer.
-    pub fn clean(&self, frames: Vec<u8>) -> Vec<u8> {
+    pub fn strip_added(&self, frames: Vec<u8>) -> Vec<u8> {
         if self.strip.is_empty() && !self.flushed {
             return frames;
         }
@@ -265,7 +265,7 @@
 
 /// Answers a caller's messages without an upstream: each statement ends with `tag`, and shows `cell`,
 /// a column's name and its value, if there is one. Ready-for-query is left to the caller.
-pub fn shape(frames: &[u8], tag: &str, cell: Option<(&str, &str)>, out: &mut BytesMut) {
+pub fn put_local_response(frames: &[u8], tag: &str, cell: Option<(&str, &str)>, out: &mut BytesMut) {
     for (kind, range) in Frames::new(frames) {
         match kind {
             b'Q' => {
--- a/crates/edge/src/contract.rs
+++ b/crates/edge/src/contract.rs
@@ -37,7 +37,7 @@
 pub const POSITION: &str = "SHOW group_position";
 
 /// A position in a watch that never counts as changed.
-pub const ANY: Lsn = Lsn(u64::MAX);
+pub const NO_LSN: Lsn = Lsn(u64::MAX);
 
 /// The role of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, EnumString, IntoStaticStr)]
@@ -65,7 +65,7 @@
     /// Entries it had to drop on following another log, in all.
     pub dropped: u64,
     /// Milliseconds since it heard from whom it follows; 0 at a primary.
-    pub heard_ms: u64,
+    pub last_contact_ms: u64,
 }
 
 impl Position {
@@ -81,7 +81,7 @@
             received: LogPosition::new(number(2)?, number(3)?),
             applied: Lsn(number(4)?),
             dropped: number(5)?,
-            heard_ms: number(6)?,
+            last_contact_ms: number(6)?,
         })
     }
 
@@ -94,7 +94,7 @@
             self.received.lsn.to_string(),
             self.applied.to_string(),
             self.dropped.to_string(),
-            self.heard_ms.to_string(),
+            self.last_contact_ms.to_string(),
         ]
     }
 }
--- a/crates/edge/src/frame.rs
+++ b/crates/edge/src/frame.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether a part of a further message is already here.
-    pub fn has_more(&self) -> bool {
+    pub fn has_buffered(&self) -> bool {
         !self.buf.is_empty()
     }
 
@@ -61,7 +61,7 @@
     /// Reads one message with its header. Cancelling the call loses nothing.
     pub async fn frame(&mut self) -> Result<BytesMut, EdgeError> {
         loop {
-            if let Some(it) = self.buffered()? {
+            if let Some(it) = self.try_frame()? {
                 return Ok(it);
             }
             self.fill().await?;
@@ -69,7 +69,7 @@
     }
 
     /// Takes one message if it is here whole.
-    pub fn buffered(&mut self) -> Result<Option<BytesMut>, EdgeError> {
+    pub fn try_frame(&mut self) -> Result<Option<BytesMut>, EdgeError> {
         let len = self.length(1)?;
         Ok(len.map(|n| self.buf.split_to(n)))
     }
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -103,7 +103,7 @@
 
 /// One line of the platform's list of instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct InstanceEntry {
     /// The instance.
     pub name: Name,
     /// Where its peer link listens.
@@ -175,7 +175,7 @@
     }
 
     /// Reads the platform's lagging list of instances.
-    pub async fn instances(&self) -> Result<Vec<Listed>, PlatformError> {
+    pub async fn instances(&self) -> Result<Vec<InstanceEntry>, PlatformError> {
         let url = format!("{}/instances", self.base);
         let request = self.http.get(url).timeout(CALL_TIMEOUT);
         self.call(Call::Instances, "", "", request).await
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -46,7 +46,7 @@
 
 /// Why an exchange with a server ended, and whether the server may have got the request.
 #[derive(Debug)]
-pub struct Broken {
+pub struct ExchangeError {
     /// Whether any byte of the request was handed to the network.
     pub sent: bool,
     /// The error.
@@ -145,7 +145,7 @@
 
     /// Whether the server has closed the connection or sent something unasked while it was idle.
     pub fn is_stale(&self) -> bool {
-        if self.reader.has_more() {
+        if self.reader.has_buffered() {
             return true;
         }
         let mut byte = [0u8; 1];
@@ -158,14 +158,20 @@
     /// Sends messages and reads as many answers as they ask for, `max` bytes each at most.
     ///
     /// The connection is unusable after an error, or when the call is cancelled.
-    pub async fn run(&mut self, frames: &[u8], answers: usize, max: usize) -> Result<Vec<Answer>, Broken> {
+    pub async fn run(
+        &mut self,
+        frames: &[u8],
+        answers: usize,
+        max: usize,
+    ) -> Result<Vec<Answer>, ExchangeError> {
         let peer = self.reader.peer().clone();
         self.traffic += frames.len() as u64;
         let sent = self.writer.write_all(frames).await;
-        sent.context(IoSnafu { step: Step::Send, peer }).map_err(|error| Broken { sent: true, error })?;
+        sent.context(IoSnafu { step: Step::Send, peer })
+            .map_err(|error| ExchangeError { sent: true, error })?;
         let mut out = Vec::with_capacity(answers);
         for _ in 0..answers {
-            let it = self.answer(max).await.map_err(|error| Broken { sent: true, error })?;
+            let it = self.answer(max).await.map_err(|error| ExchangeError { sent: true, error })?;
             self.traffic += it.frames.len() as u64;
             out.push(it);
         }
@@ -205,7 +211,7 @@
     }
 
     /// Gives an order and reads the position it is answered with, bounded in time.
-    pub async fn order(&mut self, order: Order, limit: Duration) -> Result<Position, EdgeError> {
+    pub async fn send_order(&mut self, order: Order, limit: Duration) -> Result<Position, EdgeError> {
         let peer = self.reader.peer().clone();
         let mut out = BytesMut::new();
         put_query(&order.query(), &mut out);
--- a/crates/edge/tests/input.rs
+++ b/crates/edge/tests/input.rs
@@ -90,7 +90,7 @@
 #[test]
 fn a_statement_prepared_earlier_goes_along_and_its_answer_is_taken_out() {
     let mut known = Statements::default();
-    known.put(Statement { name: "s1".into(), text: "SELECT $1".into(), types: vec![25] });
+    known.insert(Statement { name: "s1".into(), text: "SELECT $1".into(), types: vec![25] });
     let mut batch = Batch::default();
     let bind = Bind::new(None, Some("s1".to_owned()), vec![], vec![], vec![]);
     assert_eq!(batch.push(frame_of(&bind), &known).ok(), Some(Progress::More));
@@ -99,7 +99,7 @@
     assert_eq!(tags, b"PBS");
     assert_eq!(batch.texts, ["SELECT $1"]);
     let answer = [b'1', 0, 0, 0, 4, b'2', 0, 0, 0, 4, b'Z', 0, 0, 0, 5, b'I'];
-    assert_eq!(batch.clean(answer.to_vec()), answer[5..]);
+    assert_eq!(batch.strip_added(answer.to_vec()), answer[5..]);
 }
 
 #[test]
@@ -110,7 +110,7 @@
         let parse = Parse::new(Some(name.to_owned()), "SELECT 1".to_owned(), vec![]);
         batch.push(frame_of(&parse), &known).expect("it is whole");
     }
-    batch.keep(&[b'1', 0, 0, 0, 4, b'E', 0, 0, 0, 5, 0], &mut known);
+    batch.apply_to(&[b'1', 0, 0, 0, 4, b'E', 0, 0, 0, 5, 0], &mut known);
     assert!(known.get("good").is_some() && known.get("bad").is_none());
     let error =
         Batch::default().push(frame_of(&Parse::new(Some("good".to_owned()), String::new(), vec![])), &known);
--- a/crates/pondtrack/src/run.rs
+++ b/crates/pondtrack/src/run.rs
@@ -24,7 +24,7 @@
 
 /// Runs a command; hands back what to print.
 pub async fn run(options: &Options) -> Result<String, CliError> {
-    let look = show::Look { colour: show::has_colour(options.colour), json: options.json };
+    let look = show::Style { colour: show::has_colour(options.colour), json: options.json };
     if let Command::Check { file } = &options.command {
         let spec = read_group(file)?;
         return Ok(format!(
@@ -40,7 +40,7 @@
         Command::Status => print(&look, &asked(client.status().await)?, |it| show::status(&look, it)),
         Command::Plan(intent) => {
             let it = asked(client.propose(who, read_intent(intent)?).await)?;
-            print(&look, &it, |it| show::proposed(&look, it))
+            print(&look, &it, |it| show::proposed_plan(&look, it))
         }
         Command::Confirm { plan, no_watch } => {
             let it = asked(client.confirm(who, plan.as_str().into()).await)?;
@@ -93,7 +93,7 @@
 }
 
 fn print<T: Serialize>(
-    look: &show::Look,
+    look: &show::Style,
     it: &T,
     text: impl FnOnce(&T) -> String,
 ) -> Result<String, CliError> {
@@ -105,7 +105,7 @@
     Ok(format!("{json}\n"))
 }
 
-async fn watch(client: &HttpClient, look: &show::Look, name: &str) -> Result<String, CliError> {
+async fn watch(client: &HttpClient, look: &show::Style, name: &str) -> Result<String, CliError> {
     let mut said = 0;
     loop {
         let all = asked(client.plans(Some(name.into())).await)?;
@@ -125,7 +125,7 @@
     }
 }
 
-fn ended(look: &show::Look, it: &Plan) -> Result<String, CliError> {
+fn ended(look: &show::Style, it: &Plan) -> Result<String, CliError> {
     match it.state {
         PlanState::Failed => {
             let why = it.log.last().map_or("no reason is recorded", |it| it.as_str());
--- a/crates/pondtrack/src/show.rs
+++ b/crates/pondtrack/src/show.rs
@@ -8,7 +8,7 @@
 
 /// How things are shown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct Style {
     /// With colour.
     pub colour: bool,
     /// As JSON.
@@ -32,7 +32,7 @@
     Bad,
 }
 
-impl Look {
+impl Style {
     fn paint(&self, shade: Shade, text: &str) -> String {
         let code = match shade {
             Shade::Good => 32,
@@ -54,7 +54,7 @@
 }
 
 /// The fleet: instances, then each group as its first reporting home sees it.
-pub fn status(look: &Look, all: &[InstanceStatus]) -> String {
+pub fn status(look: &Style, all: &[InstanceStatus]) -> String {
     let mut rows = vec![row(&["INSTANCE", "ZONE", "STATE", "SESSIONS", "HOME OF"])];
     let members = all.iter().max_by_key(|it| it.members.len()).map_or(&[][..], |it| &it.members);
     for m in members {
@@ -105,7 +105,7 @@
 }
 
 /// A plan that waits for its confirmation.
-pub fn proposed(look: &Look, it: &Plan) -> String {
+pub fn proposed_plan(look: &Style, it: &Plan) -> String {
     let mut out = format!("plan {} ({})\n", it.name, look.word(&it.state.to_string()));
     for effect in &it.effects {
         out.push_str(&format!("  - {effect}\n"));
@@ -118,7 +118,7 @@
 }
 
 /// A plan with its progress.
-pub fn plan(look: &Look, it: &Plan) -> String {
+pub fn plan(look: &Style, it: &Plan) -> String {
     let mut out = format!("plan {} of {}: {}\n", it.name, it.operator, look.word(&it.state.to_string()));
     for (n, (_, state)) in it.steps.iter().enumerate() {
         let text = match state {
@@ -135,7 +135,7 @@
 }
 
 /// All plans, one a line.
-pub fn plans(look: &Look, all: &[Plan]) -> String {
+pub fn plans(look: &Style, all: &[Plan]) -> String {
     if all.is_empty() {
         return "there are no plans; pondtrack plan makes one\n".to_owned();
     }
@@ -151,7 +151,7 @@
 }
 
 /// Decisions, oldest first.
-pub fn decisions(look: &Look, all: &[Decision]) -> String {
+pub fn decisions(look: &Style, all: &[Decision]) -> String {
     if all.is_empty() {
         return "no decision is recorded; instances forget theirs when they end\n".to_owned();
     }
@@ -188,7 +188,7 @@
 }
 
 /// Columns as wide as their widest cell; the first row is the heading.
-fn table(look: &Look, rows: &[Vec<String>]) -> String {
+fn table(look: &Style, rows: &[Vec<String>]) -> String {
     let columns = rows.first().map_or(0, Vec::len);
     let width = |c: usize| rows.iter().map(|it| it[c].chars().count()).max().unwrap_or(0);
     let widths: Vec<usize> = (0..columns).map(width).collect();
--- a/crates/pondtrack/tests/show.rs
+++ b/crates/pondtrack/tests/show.rs
@@ -4,7 +4,7 @@
     pondtrack::{
         command::{Command, Intent, options},
         error::{CliError, Kind},
-        show::{self, Look},
+        show::{self, Style},
     },
     pondtrack_proto::{
         Decision, GroupStatus, InstanceStatus, Intent as Wanted, LogPosition, Lsn, MemberState, MemberStatus,
@@ -49,7 +49,7 @@
 #[test]
 fn the_fleet() {
     assert_data_eq!(
-        show::status(&Look::default(), &[instance()]),
+        show::status(&Style::default(), &[instance()]),
         str![[r#"
 INSTANCE  ZONE   STATE  SESSIONS  HOME OF
 p0        cm-hq  alive  40        1 groups
@@ -82,7 +82,7 @@
 #[test]
 fn a_plan_before_and_after_its_confirmation() {
     assert_data_eq!(
-        show::proposed(&Look::default(), &plan(PlanState::Proposed)),
+        show::proposed_plan(&Style::default(), &plan(PlanState::Proposed)),
         str![[r#"
 plan drain-1a2b3c4d (proposed)
   - parts: parts-0 gets no new work
@@ -92,7 +92,7 @@
 "#]]
     );
     assert_data_eq!(
-        show::plan(&Look::default(), &plan(PlanState::Done)),
+        show::plan(&Style::default(), &plan(PlanState::Done)),
         str![[r#"
 plan drain-1a2b3c4d of ann: done
   step 1: done
@@ -112,7 +112,7 @@
         evidence: "parts-0: heard 460 ms ago".to_owned(),
     };
     assert_data_eq!(
-        show::decisions(&Look::default(), &[it]),
+        show::decisions(&Style::default(), &[it]),
         str![[r#"
 01:02:03.004 p0 parts: the primary is given up: silent
     because: parts-0: heard 460 ms ago
@@ -136,7 +136,7 @@
 
 #[test]
 fn colour_marks_what_needs_a_look() {
-    let look = Look { colour: true, json: false };
+    let look = Style { colour: true, json: false };
     assert!(show::status(&look, &[instance()]).contains("\u{1b}[31mdead\u{1b}[0m"));
 }
 
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -188,7 +188,7 @@
         let node = self.node.clone();
         loop {
             let leave = node.leave.notified();
-            let between = batch.frames.is_empty() && !reader.has_more();
+            let between = batch.frames.is_empty() && !reader.has_buffered();
             if node.leaving.get() && between && self.state == SessionState::Idle {
                 self.apply(SessionEvent::Leave);
                 return Ok(None);
@@ -270,7 +270,7 @@
         self.undo_settings();
         self.apply(SessionEvent::Settled);
         let mut out = BytesMut::new();
-        batch::shape(&batch.frames, "ROLLBACK", None, &mut out);
+        batch::put_local_response(&batch.frames, "ROLLBACK", None, &mut out);
         answer::put_ready(TxnState::Idle, &mut out);
         self.cleaned(batch, &out)
     }
@@ -282,7 +282,7 @@
             }
         }
         let mut out = BytesMut::new();
-        batch::shape(&batch.frames, "SET", None, &mut out);
+        batch::put_local_response(&batch.frames, "SET", None, &mut out);
         answer::put_ready(self.txn(), &mut out);
         self.keep(batch, &out);
         self.cleaned(batch, &out)
@@ -304,7 +304,7 @@
             }
         };
         let mut out = BytesMut::new();
-        batch::shape(&batch.frames, "SHOW", Some((name, &value)), &mut out);
+        batch::put_local_response(&batch.frames, "SHOW", Some((name, &value)), &mut out);
         answer::put_ready(self.txn(), &mut out);
         self.keep(batch, &out);
         self.cleaned(batch, &out)
@@ -384,7 +384,7 @@
     /// An answer of the upstream came.
     fn done(&mut self, batch: &Batch, frames: Vec<u8>, txn: TxnState, sets: Vec<Stmt>) -> BytesMut {
         let failed = Frames::new(&frames).any(|it| it.0 == b'E');
-        batch.keep(&frames, &mut self.statements);
+        batch.apply_to(&frames, &mut self.statements);
         if !failed {
             for it in sets {
                 self.record(it);
@@ -403,7 +403,7 @@
             TxnState::Open => SessionEvent::Opened,
             TxnState::Failed => SessionEvent::Failed,
         });
-        BytesMut::from(batch.clean(frames).as_slice())
+        BytesMut::from(batch.strip_added(frames).as_slice())
     }
 
     fn record(&mut self, it: Stmt) {
@@ -544,11 +544,11 @@
     }
 
     fn keep(&mut self, batch: &Batch, out: &BytesMut) {
-        batch.keep(out, &mut self.statements);
+        batch.apply_to(out, &mut self.statements);
     }
 
     fn cleaned(&self, batch: &Batch, out: &BytesMut) -> BytesMut {
-        BytesMut::from(batch.clean(out.to_vec()).as_slice())
+        BytesMut::from(batch.strip_added(out.to_vec()).as_slice())
     }
 
     async fn say_leaving(&mut self, write: &mut OwnedWriteHalf) {
--- a/crates/pondtrackd/src/home/keyed.rs
+++ b/crates/pondtrackd/src/home/keyed.rs
@@ -74,7 +74,7 @@
 pub fn repeat(frames: &[u8], recorded: &Recorded) -> Vec<u8> {
     let mut out = BytesMut::new();
     answer::put_notice(REPEATED, "this request ran before; its recorded outcome follows", &mut out);
-    batch::shape(frames, &recorded.tag, None, &mut out);
+    batch::put_local_response(frames, &recorded.tag, None, &mut out);
     answer::put_ready(TxnState::Idle, &mut out);
     out.to_vec()
 }
--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -422,7 +422,7 @@
         };
         let sent = node.now();
         let before = conn.traffic;
-        let answer = conn.order(order, limit).await;
+        let answer = conn.send_order(order, limit).await;
         node.counters.add(crate::telemetry::Count::ServerOrderBytes, conn.traffic - before);
         if answer.as_ref().is_ok() || answer.as_ref().is_err_and(EdgeError::is_refusal) {
             *control = Some(conn);
--- a/crates/pondtrackd/src/home/monitor.rs
+++ b/crates/pondtrackd/src/home/monitor.rs
@@ -10,7 +10,7 @@
     pondtrack_core::retry::Backoff,
     pondtrack_edge::{
         EdgeError, Upstream,
-        contract::{ANY, Order},
+        contract::{NO_LSN, Order},
     },
     pondtrack_proto::{Lsn, Term},
     std::{io::ErrorKind, rc::Rc, time::Duration},
@@ -97,13 +97,13 @@
         let leads = home.primary() == Some(server);
         let wait = if first { 0 } else { longest_wait(node, home, leads) };
         // Each commit tells the primary's position; only a change of term or role matters here.
-        let (received, applied) = if leads { (ANY, ANY) } else { (known.1, known.2) };
+        let (received, applied) = if leads { (NO_LSN, NO_LSN) } else { (known.1, known.2) };
         let order = Order::Watch { term: known.0, received, applied, ms: wait };
         let limit = Duration::from_millis(u64::from(wait) + GRACE);
         let sent = node.now();
         node.count(Count::ServerOrders);
         let before = conn.traffic;
-        let answer = conn.order(order, limit).await;
+        let answer = conn.send_order(order, limit).await;
         node.counters.add(Count::ServerOrderBytes, conn.traffic - before);
         let position = match answer {
             Ok(it) => it,
--- a/crates/testbed/src/ceiling.rs
+++ b/crates/testbed/src/ceiling.rs
@@ -8,7 +8,7 @@
         fleet::{cpu_seconds, rss_mb},
         launch::{self, Process, Thread},
     },
-    pondtrack_edge::{operator::OperatorClient, platform::Listed},
+    pondtrack_edge::{operator::OperatorClient, platform::InstanceEntry},
     pondtrack_proto::{GroupSpec, MemberState, Name, ReadPolicy, ServerSpec},
     serde::Serialize,
     std::{
@@ -136,7 +136,12 @@
         let mut all = Vec::new();
         for (name, zone, process) in list {
             let addr = process.addr("peers")?;
-            all.push(Listed { name: (*name).into(), addr, zone: (*zone).into(), state: MemberState::Alive });
+            all.push(InstanceEntry {
+                name: (*name).into(),
+                addr,
+                zone: (*zone).into(),
+                state: MemberState::Alive,
+            });
         }
         let url = format!("http://{}/instances", self.platform.addr("addr")?);
         self.http.put(url).json(&all).send().await.map(drop).map_err(io::Error::other)
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -6,7 +6,7 @@
         platform::{Calls, Trouble},
         relay::{Front, Part, Relay, own_ip},
     },
-    pondtrack_edge::{operator::OperatorClient, platform::Listed},
+    pondtrack_edge::{operator::OperatorClient, platform::InstanceEntry},
     pondtrack_proto::{
         GroupSpec, InstanceStatus, Intent, MemberState, Name, Plan, PlanState, ReadPolicy, ServerSpec,
     },
@@ -310,8 +310,8 @@
     pub async fn tell_platform(&self) -> io::Result<()> {
         let zones = &self.deployment.zones;
         let live = self.instances.iter().filter(|it| it.process.is_some());
-        let list: Vec<Listed> = live
-            .map(|it| Listed {
+        let list: Vec<InstanceEntry> = live
+            .map(|it| InstanceEntry {
                 name: it.name.clone(),
                 addr: it.peers.addr,
                 zone: zones[it.zone].into(),
--- a/crates/testbed/src/db/mod.rs
+++ b/crates/testbed/src/db/mod.rs
@@ -128,7 +128,7 @@
     /// The position as it is shown.
     pub fn position(&self) -> Position {
         let it = self.contract.borrow();
-        let heard_ms = match it.role {
+        let last_contact_ms = match it.role {
             Role::Primary => 0,
             _ => self.heard.get().elapsed().as_millis() as u64,
         };
@@ -138,7 +138,7 @@
             received: it.last(),
             applied: self.applied.get(),
             dropped: it.dropped,
-            heard_ms,
+            last_contact_ms,
         }
     }
 
--- a/crates/testbed/src/db/session.rs
+++ b/crates/testbed/src/db/session.rs
@@ -17,7 +17,7 @@
     },
     pondtrack_edge::{
         answer::{self, SqlError},
-        contract::{ANY, COLUMNS, Order, Role},
+        contract::{COLUMNS, NO_LSN, Order, Role},
         frame::FrameReader,
     },
     pondtrack_proto::{Lsn, Name, Term, TxnState},
@@ -640,7 +640,7 @@
                 let first = server.position().role;
                 wait(&server, ms, || {
                     let it = server.position();
-                    let moved = |now: Lsn, known: Lsn| known != ANY && now != known;
+                    let moved = |now: Lsn, known: Lsn| known != NO_LSN && now != known;
                     it.term != term
                         || it.role != first
                         || moved(it.received.lsn, received)
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -6,7 +6,7 @@
         db::DbConfig,
         launch::{self, Thread},
     },
-    pondtrack_edge::{operator::OperatorClient, platform::Listed},
+    pondtrack_edge::{operator::OperatorClient, platform::InstanceEntry},
     pondtrack_proto::{GroupSpec, Intent, MemberState, Name, PlanState, ReadPolicy, ServerSpec},
     pondtrackd::Settings,
     std::{
@@ -146,10 +146,10 @@
             "warn",
         ];
         let mut settings = Settings::from_args(&args).map_err(io::Error::other)?;
-        settings.seed = listed.iter().map(|it: &Listed| it.addr).collect();
+        settings.seed = listed.iter().map(|it: &InstanceEntry| it.addr).collect();
         settings.probe_ms = 300;
         let (thread, ready, stop) = launch::instance_thread(settings)?;
-        listed.push(Listed {
+        listed.push(InstanceEntry {
             name: name.into(),
             addr: ready.peers,
             zone: zone.into(),
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -7,7 +7,7 @@
         launch::{self, Process, Thread},
         platform::Calls,
     },
-    pondtrack_edge::{Object, operator::OperatorClient, platform::Listed},
+    pondtrack_edge::{Object, operator::OperatorClient, platform::InstanceEntry},
     pondtrack_proto::{GroupSpec, InstanceStatus, MemberState, Name, ReadPolicy, ServerSpec},
     rand::{RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
@@ -227,7 +227,7 @@
             let Some(process) = &it.process else { continue };
             let zone = zone_name(it.zone).into();
             let addr = process.addr("peers")?;
-            list.push(Listed { name: it.name.clone(), addr, zone, state: MemberState::Alive });
+            list.push(InstanceEntry { name: it.name.clone(), addr, zone, state: MemberState::Alive });
         }
         let url = format!("{}/instances", self.url()?);
         self.http.put(url).json(&list).send().await.map(drop).map_err(io::Error::other)
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -8,7 +8,7 @@
         http::StatusCode,
         routing::{get, post},
     },
-    pondtrack_edge::platform::{Listed, Listing, Object},
+    pondtrack_edge::platform::{InstanceEntry, Listing, Object},
     pondtrack_proto::Name,
     serde::{Deserialize, Serialize},
     serde_json::value::RawValue,
@@ -61,8 +61,8 @@
     version: u64,
     trouble: Trouble,
     calls: Calls,
-    instances: Vec<Listed>,
-    before: Vec<Listed>,
+    instances: Vec<InstanceEntry>,
+    before: Vec<InstanceEntry>,
     listed: Option<Instant>,
 }
 
@@ -190,7 +190,7 @@
     Ok(Json(it.unwrap_or_else(|_| Listing { version: since, objects: Vec::new() })))
 }
 
-async fn instances(State(s): State<Shared>) -> Result<Json<Vec<Listed>>, StatusCode> {
+async fn instances(State(s): State<Shared>) -> Result<Json<Vec<InstanceEntry>>, StatusCode> {
     s.enter(|it| it.instances += 1).await?;
     let it = s.inner.lock().expect("no panic while held");
     let lag = Duration::from_millis(it.trouble.lag_ms);
@@ -198,7 +198,7 @@
     Ok(Json(if fresh { it.instances.clone() } else { it.before.clone() }))
 }
 
-async fn set_instances(State(s): State<Shared>, Json(list): Json<Vec<Listed>>) {
+async fn set_instances(State(s): State<Shared>, Json(list): Json<Vec<InstanceEntry>>) {
     let mut it = s.inner.lock().expect("no panic while held");
     it.before = std::mem::replace(&mut it.instances, list);
     it.listed = Some(Instant::now());
