--- a/crates/pondtrackd/src/home/mod.rs
+++ b/crates/pondtrackd/src/home/mod.rs
@@ -426,7 +426,7 @@
         };
         let sent = node.now();
         let traffic_before = conn.traffic;
-        let answer = conn.order(order, limit).await;
+        let answer = conn.send_order(order, limit).await;
         node.counters.add(crate::telemetry::Count::ServerOrderBytes, conn.traffic - traffic_before);
         if answer.as_ref().is_ok() || answer.as_ref().is_err_and(EdgeError::is_refusal) {
             *control = Some(conn);
--- a/crates/pondtrackd/src/home/monitor.rs
+++ b/crates/pondtrackd/src/home/monitor.rs
@@ -10,7 +10,7 @@
     pondtrack_core::retry::Backoff,
     pondtrack_edge::{
         EdgeError, Upstream,
-        contract::{ANY, Order},
+        contract::{NO_LSN, Order},
     },
     pondtrack_proto::{Lsn, Term},
     std::{io::ErrorKind, rc::Rc, time::Duration},
@@ -97,13 +97,13 @@
         let is_primary = home.primary() == Some(server);
         let wait = if first { 0 } else { max_wait_ms(node, home, is_primary) };
         // Commits report the position of the primary, so only a change of its term or role has to end the wait.
-        let (received, applied) = if is_primary { (ANY, ANY) } else { (last_seen.1, last_seen.2) };
+        let (received, applied) = if is_primary { (NO_LSN, NO_LSN) } else { (last_seen.1, last_seen.2) };
         let order = Order::Watch { term: last_seen.0, received, applied, ms: wait };
         let limit = Duration::from_millis(u64::from(wait) + POLL_MARGIN_MS);
         let sent = node.now();
         node.count(Count::ServerOrders);
         let traffic_before = conn.traffic;
-        let answer = conn.order(order, limit).await;
+        let answer = conn.send_order(order, limit).await;
         node.counters.add(Count::ServerOrderBytes, conn.traffic - traffic_before);
         let position = match answer {
             Ok(position) => position,
--- a/crates/pondtrackd/src/home/request_ledger.rs
+++ b/crates/pondtrackd/src/home/request_ledger.rs
@@ -78,7 +78,7 @@
 pub fn replay_answer(frames: &[u8], record: &LedgerRecord) -> Vec<u8> {
     let mut out = BytesMut::new();
     answer::put_notice(REPEATED_NOTICE, "this request ran before; its recorded outcome follows", &mut out);
-    batch::shape(frames, &record.tag, None, &mut out);
+    batch::put_local_response(frames, &record.tag, None, &mut out);
     answer::put_ready(TxnState::Idle, &mut out);
     out.to_vec()
 }
