--- a/crates/pondtrackd/src/forward.rs
+++ b/crates/pondtrackd/src/forward.rs
@@ -1,4 +1,4 @@
-//! Choosing a home and passing requests on.
+//! Selection of a home and forwarding of requests to it.
 
 use {
     crate::{home::exec, node::Node, peers::Lost},
@@ -8,44 +8,48 @@
     tokio::time::timeout,
 };
 
-/// When to come back after no home was found, in milliseconds.
+/// Retry delay given to callers when no home could run the request, in milliseconds.
 const RETRY_MS: u32 = 250;
 
-/// A reply, and the home it comes from.
+/// Reply and the home it comes from.
 pub struct Forwarded {
     /// The reply.
     pub reply: Reply,
-    /// The home.
+    /// The home; none if no home replied.
     pub home: Option<Name>,
 }
 
-/// Runs a batch outside a transaction at one of the group's homes, the nearest first.
-pub async fn send(node: &Rc<Node>, mut req: Request, at: &dyn Fn(&Name)) -> Forwarded {
+/// Runs a batch outside a transaction at one of the group's homes and retries at the others, own zone
+/// first, until the deadline. `on_attempt` is called with each home before the request is sent to it.
+pub async fn send(node: &Rc<Node>, mut req: Request, on_attempt: &dyn Fn(&Name)) -> Forwarded {
     let deadline = node.now() + Time::from(req.left_ms);
     let mut reason = Name::from("the group has no home instance");
     loop {
-        for home in homes(node, &req.group) {
+        for home in candidates(node, &req.group) {
             let left = deadline.saturating_sub(node.now());
             if left == 0 {
                 return not_run(req.id, reason, RETRY_MS);
             }
             req.id = node.unique();
             req.left_ms = left as u32;
-            at(&home);
-            match pass(node, &home, req.clone()).await {
-                // Another home may reach the primary, or still be one.
-                Ok(Reply { outcome: Outcome::NotRun { reason: why, retry_ms: 0 }, .. }) => reason = why,
+            on_attempt(&home);
+            match dispatch(node, &home, req.clone()).await {
+                // Another home may reach the primary, or may still be a home of the group.
+                Ok(Reply { outcome: Outcome::NotRun { reason: new_reason, retry_ms: 0 }, .. }) => {
+                    reason = new_reason
+                }
                 Ok(reply) => return Forwarded { reply, home: Some(home) },
                 Err(Lost { sent: false }) => reason = format!("the home {home} can't be reached").into(),
                 Err(Lost { sent: true }) => {
                     reason = format!("the link to the home {home} was lost").into();
-                    if !is_repeatable(&req) {
+                    if !is_idempotent(&req) {
                         return unknown(req.id, reason);
                     }
                 }
             }
         }
-        // Every home was tried: members, or what they reach, may be about to change.
+        // All homes were tried. Members, or the servers that they reach, may change soon, so the next round
+        // starts after a change of members or groups, or after 100 ms.
         let changed = node.changed.notified();
         let left = deadline.saturating_sub(node.now());
         if left == 0 {
@@ -55,83 +59,85 @@
     }
 }
 
-/// Runs a batch of an open transaction at the home that has it.
+/// Runs a batch of an open transaction at the home that holds the transaction's connection; never retries.
 pub async fn send_pinned(node: &Rc<Node>, mut req: Request, home: &Name) -> Forwarded {
     req.id = node.unique();
     let (id, commits) = (req.id, req.class == Class::Commit);
-    match pass(node, home, req).await {
+    match dispatch(node, home, req).await {
         Ok(reply) => Forwarded { reply, home: Some(home.clone()) },
         Err(Lost { sent: true }) if commits => {
             unknown(id, format!("the link to the home {home} was lost").into())
         }
-        // Without a commit the home rolls back what a lost link leaves open.
+        // The home rolls back a transaction whose link is lost before the commit.
         Err(_) => not_run(id, format!("the link to the home {home} was lost").into(), RETRY_MS),
     }
 }
 
-/// Ends a session at the home that has its transaction.
+/// Closes a session's stream at the home that holds its transaction, which is rolled back.
 pub fn close(node: &Rc<Node>, stream: u64, home: &Name) {
     if *home != node.name {
         node.peers.tell(node, home, &PeerMsg::Close { stream });
         return;
     }
     let id = (node.name.clone(), stream);
-    for it in node.homes.borrow().clone() {
-        it.close_stream(&id);
+    for home in node.homes.borrow().clone() {
+        home.close_stream(&id);
     }
 }
 
-/// Cancels what a session runs at a home.
+/// Cancels the running batch of a session at a home.
 pub fn cancel(node: &Rc<Node>, stream: u64, home: &Name) {
     if *home != node.name {
         node.peers.tell(node, home, &PeerMsg::Cancel { stream });
         return;
     }
     let id = (node.name.clone(), stream);
-    for it in node.homes.borrow().clone() {
-        it.cancel(&id);
+    for home in node.homes.borrow().clone() {
+        home.cancel(&id);
     }
 }
 
-/// The homes in the order in which they are tried; those whose links broke lately come last.
-fn homes(node: &Rc<Node>, group: &Name) -> Vec<Name> {
+/// Returns the homes of a group in the order of attempts; homes whose links broke recently come last.
+fn candidates(node: &Rc<Node>, group: &Name) -> Vec<Name> {
     let Some(spec) = node.group(group) else { return Vec::new() };
     let now = node.now();
-    let mut out = node.homes_of(&spec).near.clone();
-    out.sort_by_key(|it| node.peers.is_shunned(now, it));
-    out
+    let mut homes = node.homes_of(&spec).near.clone();
+    homes.sort_by_key(|home| node.peers.is_shunned(now, home));
+    homes
 }
 
-async fn pass(node: &Rc<Node>, home: &Name, req: Request) -> Result<Reply, Lost> {
+/// Runs a request at a home, locally or over the link to its instance.
+async fn dispatch(node: &Rc<Node>, home: &Name, req: Request) -> Result<Reply, Lost> {
     if *home != node.name {
         return node.peers.request(node, home, req).await;
     }
     match node.home(&req.group) {
-        Some(it) => Ok(Box::pin(exec::execute(node, &it, &node.name, req)).await),
+        Some(local) => Ok(Box::pin(exec::execute(node, &local, &node.name, req)).await),
         None => Err(Lost { sent: false }),
     }
 }
 
-/// Whether a request may be sent again after its reply was lost.
-fn is_repeatable(req: &Request) -> bool {
+/// Returns true if a request may be retried after its reply was lost.
+fn is_idempotent(req: &Request) -> bool {
     match req.class {
         Class::Read => true,
         Class::Write => req.key.is_some(),
-        // A transaction that was only begun leaves nothing behind.
+        // A transaction that has only begun has changed nothing.
         Class::Begin | Class::Rollback => true,
         Class::Commit => false,
     }
 }
 
 fn not_run(id: u64, reason: Name, retry_ms: u32) -> Forwarded {
-    without_answer(id, Outcome::NotRun { reason, retry_ms })
+    without_frames(id, Outcome::NotRun { reason, retry_ms })
 }
 
 fn unknown(id: u64, reason: Name) -> Forwarded {
-    without_answer(id, Outcome::Unknown { reason })
+    without_frames(id, Outcome::Unknown { reason })
 }
 
-fn without_answer(id: u64, outcome: Outcome) -> Forwarded {
+/// Builds a reply without messages from the upstream.
+fn without_frames(id: u64, outcome: Outcome) -> Forwarded {
     let reply = Reply {
         id,
         outcome,
--- a/crates/pondtrackd/src/gossip.rs
+++ b/crates/pondtrackd/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership and the spread of facts over datagrams.
+//! Membership and gossip of facts over UDP.
 
 use {
     crate::{
@@ -12,98 +12,105 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// Largest datagram taken, in bytes.
+/// Maximum size of a datagram, in bytes.
 const MAX_DATAGRAM: usize = 65_507;
 
-/// An order to an instance to leave, as kept on the platform.
+/// Order to an instance to leave, as stored on the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaveOrder {
-    /// The incarnation it is meant for, or one of its later ones; not that of a later process.
+    /// Incarnation of the instance when the order was issued, or an earlier one of the same process. A process
+    /// that starts later has a higher incarnation from its start and ignores the order.
     pub incarnation: u64,
 }
 
-/// Takes datagrams for the life of the instance.
+/// Receives datagrams until the instance ends.
 pub async fn serve(node: Rc<Node>) {
     let mut buf = vec![0u8; MAX_DATAGRAM];
     loop {
-        let Ok((n, from)) = node.udp.recv_from(&mut buf).await else { continue };
-        match postcard::from_bytes::<Datagram>(&buf[..n]) {
-            Ok(gram) => {
+        let Ok((len, from)) = node.udp.recv_from(&mut buf).await else { continue };
+        match postcard::from_bytes::<Datagram>(&buf[..len]) {
+            Ok(datagram) => {
                 node.count(Count::DatagramsTaken);
                 let now = node.now();
-                let out = node.members.borrow_mut().receive(now, gram);
+                let out = node.members.borrow_mut().receive(now, datagram);
                 apply(&node, out);
             }
             Err(e) => {
                 node.count(Count::DatagramsBad);
-                log::debug!(step = "decode", peer = from.to_string().as_str(); "a bad datagram: {e}");
+                log::debug!(step = "decode", peer = from.to_string().as_str(); "invalid datagram: {e}");
             }
         }
     }
 }
 
-/// Does what is due.
+/// Runs the probes, timeouts and gossip rounds that are due.
 pub fn tick(node: &Rc<Node>) {
     let now = node.now();
     let out = node.members.borrow_mut().tick(now);
     apply(node, out);
 }
 
-/// Takes a fact learned from the platform and pushes it if it is news.
+/// Publishes a fact read from the platform; it is gossiped only if it is new to this instance.
 pub fn learn(node: &Rc<Node>, fact: Fact) {
     let out = node.members.borrow_mut().publish(fact);
     apply(node, out);
 }
 
-/// Acts upon what came of a tick or a datagram.
+/// Applies the output of a tick or a datagram: sends datagrams and applies member changes and facts.
 pub fn apply(node: &Rc<Node>, out: Output) {
-    for (to, gram) in out.send {
-        send(node, to, &gram);
+    for (to, datagram) in out.send {
+        send(node, to, &datagram);
     }
     let changed = !out.changes.is_empty();
-    for it in out.changes {
-        let before = it.before.map_or("unknown".to_owned(), |it| it.to_string());
-        if it.before.is_some() || it.after != MemberState::Alive {
-            node.decide(&it.name, format!("the instance is {}", it.after), format!("it was {before}"));
+    for change in out.changes {
+        let before = change.before.map_or("unknown".to_owned(), |state| state.to_string());
+        if change.before.is_some() || change.after != MemberState::Alive {
+            node.decide(
+                &change.name,
+                format!("the instance is {}", change.after),
+                format!("it was {before}"),
+            );
         }
     }
-    let facts = !out.facts.is_empty();
-    for it in out.facts {
+    let has_facts = !out.facts.is_empty();
+    for fact in out.facts {
         node.count(Count::FactsAccepted);
-        take(node, &it);
+        apply_fact(node, &fact);
     }
-    if changed || facts {
+    if changed || has_facts {
         reconcile(node);
     }
 }
 
-fn send(node: &Node, to: SocketAddr, gram: &Datagram) {
-    match postcard::to_stdvec(gram) {
+fn send(node: &Node, to: SocketAddr, datagram: &Datagram) {
+    match postcard::to_stdvec(datagram) {
         Ok(bytes) if bytes.len() <= MAX_DATAGRAM => {
             node.counters.one(Count::DatagramsSent);
             node.counters.add(Count::DatagramBytesSent, bytes.len() as u64);
-            // A datagram that can't be sent is lost like any other.
+            // A failed send is handled like datagram loss on the network.
             let _ = node.udp.try_send_to(&bytes, to);
         }
         Ok(bytes) => {
-            log::warn!(step = "send", peer = to.to_string().as_str(); "a datagram of {} bytes", bytes.len())
+            log::warn!(step = "send", peer = to.to_string().as_str(); "datagram of {} bytes exceeds the maximum size", bytes.len())
         }
         Err(e) => log::error!(step = "send", peer = to.to_string().as_str(); "{e}"),
     }
 }
 
-/// Puts a fact in force here.
-fn take(node: &Rc<Node>, fact: &Fact) {
+/// Applies a fact to this instance.
+fn apply_fact(node: &Rc<Node>, fact: &Fact) {
     match fact.key.kind {
         FactKind::Group => match GroupSpec::parse(&fact.value) {
-            Ok(spec) if spec.name == fact.key.name => put_group(node, spec, fact.version),
-            Ok(spec) => log::error!(subject = fact.key.name.as_str(); "the group calls itself {}", spec.name),
-            // What was in force stays so.
+            Ok(spec) if spec.name == fact.key.name => insert_group(node, spec, fact.version),
+            Ok(spec) => {
+                log::error!(subject = fact.key.name.as_str(); "the configuration names another group: {}", spec.name)
+            }
+            // The previous configuration stays in force.
             Err(e) => log::error!(subject = fact.key.name.as_str(); "{e}"),
         },
         FactKind::Leave if fact.key.name == node.name => {
             let order = serde_json::from_slice::<LeaveOrder>(&fact.value);
-            if order.is_ok_and(|it| it.incarnation >= node.born) {
+            if order.is_ok_and(|order| order.incarnation >= node.born) {
                 crate::run::leave(node, "an operator's plan");
             }
         }
@@ -111,51 +118,54 @@
     }
 }
 
-fn put_group(node: &Node, spec: GroupSpec, version: u64) {
+/// Inserts a group's configuration or replaces the previous one.
+fn insert_group(node: &Node, spec: GroupSpec, version: u64) {
     let mut groups = node.groups.borrow_mut();
-    let it = (Rc::new(spec), version);
-    match groups.binary_search_by(|old| old.0.name.cmp(&it.0.name)) {
-        Ok(at) => groups[at] = it,
-        Err(at) => groups.insert(at, it),
+    let group = (Rc::new(spec), version);
+    match groups.binary_search_by(|old| old.0.name.cmp(&group.0.name)) {
+        Ok(i) => groups[i] = group,
+        Err(i) => groups.insert(i, group),
     }
 }
 
-/// Brings the homes here in line with members and groups.
+/// Starts, reconfigures and closes the homes of this instance to match the members and groups.
 pub fn reconcile(node: &Rc<Node>) {
     node.replace_all();
     let groups = node.groups.borrow().clone();
     for (spec, version) in groups {
         let homes = node.homes_of(&spec).homes.clone();
-        let rank = homes.iter().position(|it| *it == node.name);
-        let here = node.home(&spec.name);
-        match (rank, here) {
-            (Some(rank), Some(it)) => it.configure(node, spec, version, rank, homes.len()),
-            (Some(rank), None) => begin(node, spec, version, rank, homes),
-            (None, Some(it)) if !it.closing.get() => {
-                node.decide(&spec.name, "this instance is no longer a home", names(&homes));
-                it.close(node);
+        let rank = homes.iter().position(|home| *home == node.name);
+        let local = node.home(&spec.name);
+        match (rank, local) {
+            (Some(rank), Some(home)) => home.configure(node, spec, version, rank, homes.len()),
+            (Some(rank), None) => start_home(node, spec, version, rank, homes),
+            (None, Some(home)) if !home.closing.get() => {
+                node.decide(&spec.name, "this instance is no longer a home", evidence(&homes));
+                home.close(node);
             }
             (None, _) => {}
         }
     }
-    node.homes.borrow_mut().retain(|it| !it.is_over());
+    node.homes.borrow_mut().retain(|home| !home.is_over());
 }
 
-fn begin(node: &Rc<Node>, spec: Rc<GroupSpec>, version: u64, rank: usize, homes: Vec<Name>) {
-    let it = Home::new(node, spec.clone(), version);
-    it.configure(node, spec.clone(), version, rank, homes.len());
-    let mut all = node.homes.borrow_mut();
-    let at = all.partition_point(|old| old.group < it.group);
-    all.insert(at, it.clone());
-    drop(all);
-    node.decide(&spec.name, format!("this instance is home number {}", rank + 1), names(&homes));
-    for server in 0..it.servers.len() {
-        tokio::task::spawn_local(home::monitor::run(node.clone(), it.clone(), server));
+/// Starts this instance's home of a group, with a monitor per server.
+fn start_home(node: &Rc<Node>, spec: Rc<GroupSpec>, version: u64, rank: usize, homes: Vec<Name>) {
+    let home = Home::new(node, spec.clone(), version);
+    home.configure(node, spec.clone(), version, rank, homes.len());
+    let mut local = node.homes.borrow_mut();
+    let i = local.partition_point(|old| old.group < home.group);
+    local.insert(i, home.clone());
+    drop(local);
+    node.decide(&spec.name, format!("this instance is home number {}", rank + 1), evidence(&homes));
+    for server in 0..home.servers.len() {
+        tokio::task::spawn_local(home::monitor::run(node.clone(), home.clone(), server));
     }
-    tokio::task::spawn_local(home::failover::run(node.clone(), it));
+    tokio::task::spawn_local(home::failover::run(node.clone(), home));
 }
 
-fn names(list: &[Name]) -> String {
-    let list: Vec<&str> = list.iter().map(|it| it.as_str()).collect();
-    format!("homes: {}", list.join(", "))
+/// Formats the homes of a group as the evidence of a decision.
+fn evidence(homes: &[Name]) -> String {
+    let names: Vec<&str> = homes.iter().map(|name| name.as_str()).collect();
+    format!("homes: {}", names.join(", "))
 }
