--- a/crates/pondtrackd/src/entry/mod.rs
+++ b/crates/pondtrackd/src/entry/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`startup`] | the first messages of a connection |
-//! | [`session`] | a session's state and its batches |
-//! | [`own`] | pondtrack's own settings |
+//! | [`startup`] | the startup phase of a connection |
+//! | [`session`] | state of a session and execution of its batches |
+//! | [`own`] | pondtrack's configuration parameters |
 
 pub mod own;
 pub mod session;
@@ -22,107 +22,110 @@
     tokio::{net::TcpListener, sync::Notify, time::sleep},
 };
 
-/// Bits of a process id that number the sessions of an instance.
+/// Number of low bits of a process id that hold the session's number on its instance.
 const NUMBER_BITS: u32 = 20;
-/// Bits of a process id that tell the instance.
+/// Number of bits of a process id that identify the instance.
 const INSTANCE_BITS: u32 = 11;
 
-/// One session as others reach it.
+/// Handle to a session, for cancel requests.
 #[derive(Clone)]
 pub struct Handle {
-    /// The process id given to the caller.
+    /// Process id sent to the caller.
     pub pid: i32,
-    /// The secret given to the caller.
+    /// Secret key sent to the caller, which a cancel request has to contain.
     pub secret: i32,
-    /// The session's number.
+    /// Number of the session's stream, unique on the instance.
     pub stream: u64,
-    /// The home that runs its batch now.
+    /// Home that runs the session's current batch; none between batches.
     pub home: Rc<RefCell<Option<Name>>>,
 }
 
-/// The sessions of an instance.
+/// Sessions of an instance.
 #[derive(Default)]
 pub struct Sessions {
-    /// Sorted by process id.
+    /// All sessions, sorted by process id.
     list: RefCell<Vec<Handle>>,
-    /// Sessions by caller, sorted.
+    /// Number of sessions per caller, sorted by caller.
     callers: RefCell<Vec<(Name, usize)>>,
-    /// Connections that have not finished their startup.
+    /// Number of connections in the startup phase.
     pub starting: Cell<usize>,
-    next: Cell<i32>,
-    /// Woken when a session has ended.
+    next_number: Cell<i32>,
+    /// Notified when a session has ended.
     pub ended: Notify,
 }
 
 impl Sessions {
-    /// How many there are.
+    /// Returns the number of sessions.
     pub fn len(&self) -> usize {
         self.list.borrow().len()
     }
 
-    /// Whether there is none.
+    /// Returns true if there are no sessions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many a caller has.
+    /// Returns the number of sessions of a caller.
     pub fn of_caller(&self, caller: &Name) -> usize {
-        let all = self.callers.borrow();
-        all.binary_search_by(|it| it.0.cmp(caller)).map_or(0, |at| all[at].1)
+        let callers = self.callers.borrow();
+        callers.binary_search_by(|entry| entry.0.cmp(caller)).map_or(0, |i| callers[i].1)
     }
 
+    /// Adds a session of the caller under a free process id.
     fn add(&self, node: &Node, caller: &Name) -> Handle {
         let mask = (1 << NUMBER_BITS) - 1;
         let mut list = self.list.borrow_mut();
-        let (pid, at) = loop {
-            self.next.set((self.next.get() + 1) & mask);
-            let pid = instance_bits(&node.name) << NUMBER_BITS | self.next.get();
-            if let Err(at) = list.binary_search_by_key(&pid, |it| it.pid) {
-                break (pid, at);
+        let (pid, i) = loop {
+            self.next_number.set((self.next_number.get() + 1) & mask);
+            let pid = instance_bits(&node.name) << NUMBER_BITS | self.next_number.get();
+            if let Err(i) = list.binary_search_by_key(&pid, |handle| handle.pid) {
+                break (pid, i);
             }
         };
         let secret = (node.random() & 0x7fff_ffff) as i32;
-        let it = Handle { pid, secret, stream: node.unique(), home: Rc::default() };
-        list.insert(at, it.clone());
+        let handle = Handle { pid, secret, stream: node.unique(), home: Rc::default() };
+        list.insert(i, handle.clone());
         drop(list);
-        self.count(caller, 1);
-        it
+        self.adjust_count(caller, 1);
+        handle
     }
 
     fn remove(&self, pid: i32, caller: &Name) {
-        self.list.borrow_mut().retain(|it| it.pid != pid);
-        self.count(caller, -1);
+        self.list.borrow_mut().retain(|handle| handle.pid != pid);
+        self.adjust_count(caller, -1);
         self.ended.notify_waiters();
     }
 
-    fn count(&self, caller: &Name, by: isize) {
-        let mut all = self.callers.borrow_mut();
-        let at = match all.binary_search_by(|it| it.0.cmp(caller)) {
-            Ok(at) => at,
-            Err(at) => {
-                all.insert(at, (caller.clone(), 0));
-                at
+    /// Adds `delta` to the number of sessions of a caller.
+    fn adjust_count(&self, caller: &Name, delta: isize) {
+        let mut callers = self.callers.borrow_mut();
+        let i = match callers.binary_search_by(|entry| entry.0.cmp(caller)) {
+            Ok(i) => i,
+            Err(i) => {
+                callers.insert(i, (caller.clone(), 0));
+                i
             }
         };
-        all[at].1 = all[at].1.saturating_add_signed(by);
-        if all[at].1 == 0 {
-            all.remove(at);
+        callers[i].1 = callers[i].1.saturating_add_signed(delta);
+        if callers[i].1 == 0 {
+            callers.remove(i);
         }
     }
 
+    /// Returns the session with this process id if the secret key matches.
     fn find(&self, pid: i32, secret: i32) -> Option<Handle> {
         let list = self.list.borrow();
-        let at = list.binary_search_by_key(&pid, |it| it.pid).ok()?;
-        (list[at].secret == secret).then(|| list[at].clone())
+        let i = list.binary_search_by_key(&pid, |handle| handle.pid).ok()?;
+        (list[i].secret == secret).then(|| list[i].clone())
     }
 }
 
-/// The part of a process id that tells the instance.
+/// Returns the part of a process id that identifies the instance, a hash of its name.
 fn instance_bits(name: &str) -> i32 {
     (placement::rendezvous_hash("pid", name) & ((1 << INSTANCE_BITS) - 1)) as i32
 }
 
-/// Accepts callers.
+/// Accepts connections of callers.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -138,7 +141,8 @@
     }
 }
 
-/// A caller's cancel request; it may belong to a session on another instance.
+/// Handles a caller's cancel request. The session may be on another instance; the request is then
+/// forwarded to all instances that the process id may identify.
 pub fn cancel(node: &Rc<Node>, pid: i32, secret: i32) {
     if pid >> NUMBER_BITS == instance_bits(&node.name) && node.sessions.find(pid, secret).is_some() {
         cancel_here(node, pid, secret);
@@ -147,18 +151,18 @@
     let owners: Vec<Name> = {
         let members = node.members.borrow();
         let others = members.others().iter();
-        others.filter(|it| instance_bits(&it.name) == pid >> NUMBER_BITS).map(|it| it.name.clone()).collect()
+        others.filter(|m| instance_bits(&m.name) == pid >> NUMBER_BITS).map(|m| m.name.clone()).collect()
     };
-    for it in owners {
-        node.peers.tell(node, &it, &PeerMsg::CancelFor { pid, secret });
+    for owner in owners {
+        node.peers.tell(node, &owner, &PeerMsg::CancelFor { pid, secret });
     }
 }
 
-/// Cancels what a session of this instance runs, if the secret fits.
+/// Cancels the running batch of a session of this instance if the secret key matches.
 pub fn cancel_here(node: &Rc<Node>, pid: i32, secret: i32) {
-    let Some(it) = node.sessions.find(pid, secret) else { return };
-    let home = it.home.borrow().clone();
+    let Some(session) = node.sessions.find(pid, secret) else { return };
+    let home = session.home.borrow().clone();
     if let Some(home) = home {
-        forward::cancel(node, it.stream, &home);
+        forward::cancel(node, session.stream, &home);
     }
 }
--- a/crates/pondtrackd/src/entry/own.rs
+++ b/crates/pondtrackd/src/entry/own.rs
@@ -1,4 +1,4 @@
-//! Pondtrack's own settings, which a caller sets and shows like any other.
+//! Pondtrack's configuration parameters, which callers set and read by `SET` and `SHOW`.
 
 use {
     pondtrack_core::{classify::SETTING_PREFIX, token::SessionToken},
@@ -6,29 +6,31 @@
     pondtrack_proto::Name,
 };
 
-/// What the names of these settings begin with.
+/// Prefix of the names of these parameters.
 pub const PREFIX: &str = SETTING_PREFIX;
-/// The settings, for hints.
+/// List of the parameters, for the hints of errors.
 pub const NAMES: &str = "pondtrack.max_age, pondtrack.request_key, pondtrack.timeout and pondtrack.token";
-/// Highest age and timeout, in milliseconds.
+/// Maximum staleness and maximum timeout, in milliseconds.
 const MAX_MS: u32 = 3_600_000;
 
-/// A change of one of the settings.
+/// Change of one of the parameters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The age reads may have; none for the group's policy, 0 for no age at all.
+    /// Maximum staleness of reads, in milliseconds; none for the group's policy, 0 for current reads only.
     MaxAge(Option<u32>),
-    /// The key of the next statement or transaction.
+    /// Request key of the next statement or transaction.
     RequestKey(Option<Name>),
-    /// The time for each request; none for the instance's.
+    /// Timeout of each request, in milliseconds; none for the default of the instance.
     Timeout(Option<u32>),
-    /// What another session of the caller had seen.
+    /// Token of another session of the caller, which contains the log position that session had observed.
     Token(Box<SessionToken>),
 }
 
-/// Reads a change; `value` is none for the default.
+/// Parses a change of a parameter; a `value` of none stands for the default.
+///
+/// Returns SQLSTATE 22023 for an invalid value and 42704 for an unknown parameter.
 pub fn parse(name: &str, value: Option<&str>) -> Result<Change, SqlError> {
-    let bad = |accepted: &str| {
+    let invalid = |accepted: &str| {
         let text = format!("invalid value for parameter \"{name}\": {:?}", value.unwrap_or("default"));
         SqlError::error("22023", text).hint(format!("it takes {accepted}"))
     };
@@ -36,16 +38,18 @@
     match (name.strip_prefix(PREFIX).unwrap_or(name), value) {
         ("max_age", None) => Ok(Change::MaxAge(None)),
         ("max_age", Some("off")) => Ok(Change::MaxAge(Some(0))),
-        ("max_age", Some(it)) => {
+        ("max_age", Some(s)) => {
             let accepted = format!("off, or {time}");
-            millis(it).map(|ms| Change::MaxAge(Some(ms))).ok_or_else(|| bad(&accepted))
+            parse_millis(s).map(|ms| Change::MaxAge(Some(ms))).ok_or_else(|| invalid(&accepted))
         }
         ("timeout", None) => Ok(Change::Timeout(None)),
-        ("timeout", Some(it)) => millis(it).map(|ms| Change::Timeout(Some(ms))).ok_or_else(|| bad(time)),
+        ("timeout", Some(s)) => {
+            parse_millis(s).map(|ms| Change::Timeout(Some(ms))).ok_or_else(|| invalid(time))
+        }
         ("request_key", None | Some("")) => Ok(Change::RequestKey(None)),
-        ("request_key", Some(it)) => Ok(Change::RequestKey(Some(it.into()))),
-        ("token", Some(it)) => {
-            let token = SessionToken::parse(it).map_err(|e| bad(&e.to_string()))?;
+        ("request_key", Some(s)) => Ok(Change::RequestKey(Some(s.into()))),
+        ("token", Some(s)) => {
+            let token = SessionToken::parse(s).map_err(|e| invalid(&e.to_string()))?;
             Ok(Change::Token(Box::new(token)))
         }
         _ => {
@@ -55,8 +59,9 @@
     }
 }
 
-/// Reads a time in milliseconds, with an optional unit.
-fn millis(text: &str) -> Option<u32> {
+/// Parses a duration with an optional unit, into milliseconds; none if it is invalid or outside of
+/// 1..=`MAX_MS`.
+fn parse_millis(text: &str) -> Option<u32> {
     let text = text.trim();
     let end = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let (number, unit) = text.split_at(end);
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -1,10 +1,10 @@
-//! A session's state and its batches.
+//! State of a session and execution of its batches.
 
 use {
     super::{
         Handle,
         own::{self, Change},
-        startup::is_own,
+        startup::is_own as is_own_name,
     },
     crate::{
         forward::{self, Forwarded},
@@ -32,12 +32,12 @@
     tracing::Instrument,
 };
 
-/// Longest batch, as a multiple of the longest message.
+/// Maximum size of a batch, as a multiple of the maximum size of a message.
 const BATCH_MESSAGES: usize = 4;
-/// Most settings a session may change.
+/// Maximum number of settings a session may change.
 const MAX_SETTINGS: usize = 100;
 
-/// The part of a session's state that a rollback undoes.
+/// Changed settings of a session, sorted by name; a rollback restores them.
 type Settings = Vec<(Name, Name)>;
 
 /// A caller's session.
@@ -47,35 +47,37 @@
     caller: Name,
     group: Name,
     state: SessionState,
-    /// Set when the transaction's connection is gone, so that its failure is answered here.
+    /// Set when the transaction's connection is lost; statements then fail here until the caller ends the
+    /// transaction.
     lost: bool,
     home: Option<Name>,
     statements: Statements,
     settings: Settings,
-    /// The settings before the transaction.
+    /// Settings at the start of the transaction.
     saved: Option<Settings>,
     mark: LogPosition,
-    /// Whether the mark covers what was acknowledged before the session began.
+    /// Set when the mark covers all writes that were acknowledged before the session began. Until then
+    /// requests ask for a barrier.
     covered: bool,
     max_age: Option<u32>,
     timeout: Option<u32>,
     key: Option<Name>,
 }
 
-/// What a batch of the caller amounts to.
+/// How a batch is executed.
 enum Work {
-    /// For the group's servers.
+    /// Forwarded to the group's servers; `sets` are its statements that change settings.
     Run { class: Class, sets: Vec<Stmt> },
-    /// Changes of pondtrack's own settings.
+    /// Changes of pondtrack's configuration parameters, executed here.
     Own(Vec<Change>),
-    /// A question about pondtrack's own settings.
+    /// Query of one of pondtrack's configuration parameters.
     Show(Name),
-    /// Nothing.
+    /// Empty query.
     Empty,
 }
 
 impl Session {
-    /// A session that has just begun.
+    /// Creates a session and registers it with its instance.
     pub fn new(node: &Rc<Node>, caller: Name, group: Name) -> Session {
         let handle = node.sessions.add(node, &caller);
         Session {
@@ -97,21 +99,23 @@
         }
     }
 
-    /// How others reach the session.
+    /// Returns the handle under which the instance registered the session.
     pub fn handle(&self) -> &Handle {
         &self.handle
     }
 
-    /// A setting given with the startup.
+    /// Applies a setting of the startup message.
+    ///
+    /// Errors are fatal; SQLSTATE 42704 for an invalid name, 22023 for an encoding other than UTF8.
     pub fn preset(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
         let name = name.to_ascii_lowercase();
         let fatal = |e: SqlError| SqlError { severity: "FATAL", ..e };
-        if is_own(&name) {
+        if is_own_name(&name) {
             let change = own::parse(&name, Some(value)).map_err(fatal)?;
             return self.change(change).map_err(fatal);
         }
-        let plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '.';
-        if name.is_empty() || !name.chars().all(plain) {
+        let is_valid = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '.';
+        if name.is_empty() || !name.chars().all(is_valid) {
             return Err(SqlError::fatal("42704", format!("unrecognized configuration parameter {name:?}")));
         }
         match (name.as_str(), value.to_ascii_lowercase().replace('-', "").as_str()) {
@@ -123,19 +127,19 @@
         }
     }
 
-    /// Serves the caller to the session's end.
+    /// Serves the caller until the session ends.
     pub async fn run(mut self, mut reader: FrameReader<OwnedReadHalf>, mut write: OwnedWriteHalf) {
         let mut batch = Batch::default();
         let mut skipping = false;
         while self.state != SessionState::Ended {
             let frame = match self.next_frame(&mut reader, &batch).await {
-                Ok(Some(it)) => it,
+                Ok(Some(frame)) => frame,
                 Ok(None) => {
-                    self.say_leaving(&mut write).await;
+                    self.send_leaving(&mut write).await;
                     break;
                 }
                 Err(e) => {
-                    self.say_error(&e, &mut write).await;
+                    self.send_error(&e, &mut write).await;
                     break;
                 }
             };
@@ -147,21 +151,21 @@
                 continue;
             }
             let out = match std::mem::take(&mut skipping) {
-                // The sync that ends a batch which was refused.
+                // The Sync message at the end of a rejected batch.
                 true => {
                     batch = Batch::default();
                     self.ready_only()
                 }
-                false => match self.gather(&mut batch, frame) {
+                false => match self.push_frame(&mut batch, frame) {
                     Ok(Progress::More) => continue,
                     Ok(Progress::Complete) => {
-                        let it = std::mem::take(&mut batch);
-                        // Boxed, so that an idle session stays small.
-                        Box::pin(self.serve(it)).await
+                        let complete = std::mem::take(&mut batch);
+                        // Boxed to keep the future of an idle session small.
+                        Box::pin(self.execute(complete)).await
                     }
                     Err(e) => {
                         let fatal = e.severity == "FATAL";
-                        let out = self.refuse(&e, tag == b'Q' || fatal);
+                        let out = self.reject(&e, tag == b'Q' || fatal);
                         skipping = tag != b'Q';
                         batch = Batch::default();
                         if fatal {
@@ -179,7 +183,7 @@
         self.close();
     }
 
-    /// The caller's next message; none when the instance leaves and the session is between batches.
+    /// Reads the caller's next message; none when the instance leaves and the session is between batches.
     async fn next_frame(
         &mut self,
         reader: &mut FrameReader<OwnedReadHalf>,
@@ -188,19 +192,20 @@
         let node = self.node.clone();
         loop {
             let leave = node.leave.notified();
-            let between = batch.frames.is_empty() && !reader.has_more();
-            if node.leaving.get() && between && self.state == SessionState::Idle {
+            let between_batches = batch.frames.is_empty() && !reader.has_more();
+            if node.leaving.get() && between_batches && self.state == SessionState::Idle {
                 self.apply(SessionEvent::Leave);
                 return Ok(None);
             }
             tokio::select! {
-                it = reader.frame() => return it.map(Some),
+                frame = reader.frame() => return frame.map(Some),
                 () = leave => {}
             }
         }
     }
 
-    fn gather(&mut self, batch: &mut Batch, frame: BytesMut) -> Result<Progress, SqlError> {
+    /// Adds a message to the batch; SQLSTATE 54000 if the batch is too large.
+    fn push_frame(&mut self, batch: &mut Batch, frame: BytesMut) -> Result<Progress, SqlError> {
         let max = self.node.settings.max_message_bytes * BATCH_MESSAGES;
         if batch.frames.len() + frame.len() > max {
             return Err(SqlError::fatal("54000", format!("a batch of more than {max} bytes")));
@@ -208,20 +213,20 @@
         batch.push(frame, &self.statements)
     }
 
-    /// Runs a batch; hands back the whole answer.
-    async fn serve(&mut self, batch: Batch) -> BytesMut {
+    /// Executes a batch and returns the complete response.
+    async fn execute(&mut self, batch: Batch) -> BytesMut {
         self.node.count(Count::Statements);
-        let work = match self.work(&batch) {
-            Ok(it) => it,
-            Err(e) => return self.refuse(&e, true),
+        let work = match self.plan(&batch) {
+            Ok(work) => work,
+            Err(e) => return self.reject(&e, true),
         };
         if self.lost {
-            return self.serve_lost(&batch, &work);
+            return self.execute_lost(&batch, &work);
         }
         match work {
             Work::Run { class, sets } => self.forward(batch, class, sets).await,
-            Work::Own(changes) => self.serve_own(&batch, changes),
-            Work::Show(name) => self.serve_show(&batch, &name),
+            Work::Own(changes) => self.execute_own(&batch, changes),
+            Work::Show(name) => self.execute_show(&batch, &name),
             Work::Empty => {
                 let mut out = BytesMut::new();
                 answer::put(&EmptyQueryResponse::new(), &mut out);
@@ -231,169 +236,177 @@
         }
     }
 
-    /// Finds out what a batch amounts to.
-    fn work(&mut self, batch: &Batch) -> Result<Work, SqlError> {
+    /// Classifies a batch; SQLSTATE 0A000 if a statement is not supported.
+    fn plan(&mut self, batch: &Batch) -> Result<Work, SqlError> {
         let mut stmts = Vec::new();
-        for it in &batch.texts {
-            stmts.push(self.node.classifier.borrow_mut().classify(it));
+        for text in &batch.texts {
+            stmts.push(self.node.classifier.borrow_mut().classify(text));
         }
-        if let Some(why) =
-            stmts.iter().find_map(|it| if let Stmt::Unsupported(why) = it { Some(*why) } else { None })
+        if let Some(reason) = stmts
+            .iter()
+            .find_map(|stmt| if let Stmt::Unsupported(reason) = stmt { Some(*reason) } else { None })
         {
-            return Err(SqlError::error("0A000", why));
+            return Err(SqlError::error("0A000", reason));
         }
         match stmts.as_slice() {
             [] if batch.executes() => Ok(Work::Empty),
             [Stmt::Empty] if batch.is_simple() => Ok(Work::Empty),
             [Stmt::ShowSetting(name)] => Ok(Work::Show(name.clone())),
-            list if list.iter().any(is_own_set) => self.own_changes(list),
-            list => Ok(Work::Run { class: class_of(list, batch.executes()), sets: sets_of(list) }),
+            stmts if stmts.iter().any(is_own) => self.own_changes(stmts),
+            stmts => Ok(Work::Run { class: class_of(stmts, batch.executes()), sets: sets_of(stmts) }),
         }
     }
 
-    fn own_changes(&self, list: &[Stmt]) -> Result<Work, SqlError> {
-        let change = |it: &Stmt| match it {
-            Stmt::Set { name, value, .. } if is_own(name) => own::parse(name, value.as_deref()),
+    /// Parses the changes of pondtrack's parameters; SQLSTATE 0A000 if the batch holds other statements.
+    fn own_changes(&self, stmts: &[Stmt]) -> Result<Work, SqlError> {
+        let parse = |stmt: &Stmt| match stmt {
+            Stmt::Set { name, value, .. } if is_own_name(name) => own::parse(name, value.as_deref()),
             _ => Err(SqlError::error("0A000", "pondtrack's own settings have to be sent on their own")),
         };
-        list.iter().map(change).collect::<Result<_, _>>().map(Work::Own)
+        stmts.iter().map(parse).collect::<Result<_, _>>().map(Work::Own)
     }
 
-    /// The transaction is gone: everything fails until the caller ends it.
-    fn serve_lost(&mut self, batch: &Batch, work: &Work) -> BytesMut {
+    /// Answers a batch in a lost transaction: statements fail until the caller ends the transaction.
+    fn execute_lost(&mut self, batch: &Batch, work: &Work) -> BytesMut {
         let ends = matches!(work, Work::Run { class: Class::Rollback | Class::Commit, .. });
         if !ends {
             let text = "current transaction is aborted, commands ignored until end of transaction block";
-            return self.refuse(&SqlError::error("25P02", text), true);
+            return self.reject(&SqlError::error("25P02", text), true);
         }
         self.lost = false;
-        self.undo_settings();
+        self.restore_settings();
         self.apply(SessionEvent::Settled);
         let mut out = BytesMut::new();
         batch::shape(&batch.frames, "ROLLBACK", None, &mut out);
         answer::put_ready(TxnState::Idle, &mut out);
-        self.cleaned(batch, &out)
+        self.strip_added(batch, &out)
     }
 
-    fn serve_own(&mut self, batch: &Batch, changes: Vec<Change>) -> BytesMut {
-        for it in changes {
-            if let Err(e) = self.change(it) {
-                return self.refuse(&e, true);
+    /// Changes pondtrack's parameters.
+    fn execute_own(&mut self, batch: &Batch, changes: Vec<Change>) -> BytesMut {
+        for change in changes {
+            if let Err(e) = self.change(change) {
+                return self.reject(&e, true);
             }
         }
         let mut out = BytesMut::new();
         batch::shape(&batch.frames, "SET", None, &mut out);
         answer::put_ready(self.txn(), &mut out);
         self.keep(batch, &out);
-        self.cleaned(batch, &out)
+        self.strip_added(batch, &out)
     }
 
-    fn serve_show(&mut self, batch: &Batch, name: &str) -> BytesMut {
+    /// Answers a query of one of pondtrack's parameters.
+    fn execute_show(&mut self, batch: &Batch, name: &str) -> BytesMut {
         let value = match name {
             "token" => self.token().encode(),
             "mark" => self.mark.to_string(),
             "instance" => self.node.name.to_string(),
             "home" => self.home.as_ref().map_or(String::new(), Name::to_string),
-            "max_age" => self.max_age.map_or("default".to_owned(), |it| format!("{it}ms")),
-            "timeout" => format!("{}ms", self.limit()),
+            "max_age" => self.max_age.map_or("default".to_owned(), |ms| format!("{ms}ms")),
+            "timeout" => format!("{}ms", self.timeout_ms()),
             "request_key" => self.key.as_ref().map_or(String::new(), Name::to_string),
             _ => {
                 let text = format!("unrecognized configuration parameter \"{}{name}\"", own::PREFIX);
                 let hint = format!("there are {}; and pondtrack.mark, pondtrack.instance", own::NAMES);
-                return self.refuse(&SqlError::error("42704", text).hint(hint), true);
+                return self.reject(&SqlError::error("42704", text).hint(hint), true);
             }
         };
         let mut out = BytesMut::new();
         batch::shape(&batch.frames, "SHOW", Some((name, &value)), &mut out);
         answer::put_ready(self.txn(), &mut out);
         self.keep(batch, &out);
-        self.cleaned(batch, &out)
+        self.strip_added(batch, &out)
     }
 
+    /// Forwards a batch to a home and returns the response.
     async fn forward(&mut self, batch: Batch, class: Class, sets: Vec<Stmt>) -> BytesMut {
         if class == Class::Begin && self.txn() == TxnState::Idle {
             self.saved = Some(self.settings.clone());
         }
-        let began = self.node.now();
+        let started_at = self.node.now();
         let trace = self.node.random();
         let req = self.request(&batch, class, !sets.is_empty(), trace);
-        let aged = req.age_ms.is_some() && class == Class::Read;
-        let at = self.handle.home.clone();
+        let may_be_stale = req.age_ms.is_some() && class == Class::Read;
+        let current_home = self.handle.home.clone();
         let span = tracing::debug_span!("entry", trace, caller = self.caller.as_str(), %class);
         let Forwarded { reply, home } = match self.home.clone().filter(|_| self.txn() != TxnState::Idle) {
             Some(home) => {
-                *at.borrow_mut() = Some(home.clone());
+                *current_home.borrow_mut() = Some(home.clone());
                 forward::send_pinned(&self.node, req, &home).instrument(span).await
             }
             None => {
-                let note = |it: &Name| *at.borrow_mut() = Some(it.clone());
-                forward::send(&self.node, req, &note).instrument(span).await
+                let on_attempt = |home: &Name| *current_home.borrow_mut() = Some(home.clone());
+                forward::send(&self.node, req, &on_attempt).instrument(span).await
             }
         };
-        *at.borrow_mut() = None;
-        let from = home.as_ref().map_or("", |it| it.as_str());
-        tracing::debug!(trace, home = from, took_ms = self.node.now() - began, "entry answered");
+        *current_home.borrow_mut() = None;
+        let home_name = home.as_ref().map_or("", |name| name.as_str());
+        tracing::debug!(trace, home = home_name, took_ms = self.node.now() - started_at, "entry answered");
         match reply.outcome {
             Outcome::Done => {
                 self.mark.advance(reply.mark);
-                self.covered |= !aged && reply.mark != LogPosition::default();
+                self.covered |= !may_be_stale && reply.mark != LogPosition::default();
                 self.home = home;
-                self.done(&batch, reply.frames, reply.txn, sets)
+                self.complete(&batch, reply.frames, reply.txn, sets)
             }
-            other => self.failed(class, &other),
+            outcome => self.fail(class, &outcome),
         }
     }
 
+    /// Builds the request for a batch; it takes the request key if it begins a write outside a transaction.
     fn request(&mut self, batch: &Batch, class: Class, sets: bool, trace: u64) -> Request {
-        let inside = self.txn() != TxnState::Idle;
-        let keyed = !inside && matches!(class, Class::Write | Class::Begin) && batch.executes() && !sets;
+        let in_txn = self.txn() != TxnState::Idle;
+        let keyed = !in_txn && matches!(class, Class::Write | Class::Begin) && batch.executes() && !sets;
         Request {
             id: 0,
             stream: self.handle.stream,
             caller: self.caller.clone(),
             group: self.group.clone(),
             class,
-            pinned: inside,
+            pinned: in_txn,
             mark: self.mark,
             barrier: !self.covered,
-            age_ms: self.age(),
+            age_ms: self.max_staleness(),
             key: if keyed { self.key.take() } else { None },
             settings: self.settings.clone(),
             sets,
             trace,
-            left_ms: self.limit(),
+            left_ms: self.timeout_ms(),
             frames: batch.frames.to_vec(),
         }
     }
 
-    /// The age that reads may have now; none when they have to be current.
-    fn age(&self) -> Option<u32> {
-        let policy = self.node.group(&self.group).map(|it| it.policy);
-        let stated = match (self.max_age, policy) {
-            (Some(it), _) => it,
+    /// Returns the maximum staleness of reads, in milliseconds; none if reads have to be current.
+    fn max_staleness(&self) -> Option<u32> {
+        let policy = self.node.group(&self.group).map(|spec| spec.policy);
+        let ms = match (self.max_age, policy) {
+            (Some(ms), _) => ms,
             (None, Some(ReadPolicy::MaxAge { ms })) => ms,
             (None, _) => 0,
         };
-        (stated > 0).then_some(stated)
+        (ms > 0).then_some(ms)
     }
 
-    fn limit(&self) -> u32 {
+    /// Returns the timeout of a request, in milliseconds.
+    fn timeout_ms(&self) -> u32 {
         self.timeout.unwrap_or(self.node.settings.request_ms)
     }
 
-    /// An answer of the upstream came.
-    fn done(&mut self, batch: &Batch, frames: Vec<u8>, txn: TxnState, sets: Vec<Stmt>) -> BytesMut {
-        let failed = Frames::new(&frames).any(|it| it.0 == b'E');
+    /// Processes a response of the upstream: updates the prepared statements, settings and transaction state.
+    fn complete(&mut self, batch: &Batch, frames: Vec<u8>, txn: TxnState, sets: Vec<Stmt>) -> BytesMut {
+        let failed = Frames::new(&frames).any(|frame| frame.0 == b'E');
         batch.keep(&frames, &mut self.statements);
         if !failed {
-            for it in sets {
-                self.record(it);
+            for stmt in sets {
+                self.record(stmt);
             }
         }
-        let was = self.txn();
-        let rolled_back = was != TxnState::Idle && txn == TxnState::Idle && tag_is(&frames, b"ROLLBACK\0");
+        let previous = self.txn();
+        let rolled_back =
+            previous != TxnState::Idle && txn == TxnState::Idle && ends_with_tag(&frames, b"ROLLBACK\0");
         if rolled_back {
-            self.undo_settings();
+            self.restore_settings();
         }
         if txn == TxnState::Idle {
             self.saved = None;
@@ -406,10 +419,12 @@
         BytesMut::from(batch.clean(frames).as_slice())
     }
 
-    fn record(&mut self, it: Stmt) {
-        match it {
+    /// Records a change of a setting that the upstream has executed.
+    fn record(&mut self, stmt: Stmt) {
+        match stmt {
             Stmt::Set { name, value, local: false } => {
-                // The upstream has accepted it; only the number of settings is limited here.
+                // The upstream has accepted the setting. An error can only mean that the session has too many
+                // settings, and the setting is then not recorded.
                 let _ = self.set(name, value);
             }
             Stmt::ResetAll => self.settings.clear(),
@@ -417,38 +432,40 @@
         }
     }
 
+    /// Sets a setting, or removes it if `value` is none; SQLSTATE 53400 if the session has too many settings.
     fn set(&mut self, name: Name, value: Option<Name>) -> Result<(), SqlError> {
-        let at = self.settings.binary_search_by(|it| it.0.cmp(&name));
-        match (at, value) {
-            (Ok(at), Some(value)) => self.settings[at].1 = value,
-            (Ok(at), None) => drop(self.settings.remove(at)),
+        let found = self.settings.binary_search_by(|setting| setting.0.cmp(&name));
+        match (found, value) {
+            (Ok(i), Some(value)) => self.settings[i].1 = value,
+            (Ok(i), None) => drop(self.settings.remove(i)),
             (Err(_), Some(_)) if self.settings.len() >= MAX_SETTINGS => {
                 return Err(SqlError::error(
                     "53400",
                     format!("a session may change {MAX_SETTINGS} settings"),
                 ));
             }
-            (Err(at), Some(value)) => self.settings.insert(at, (name, value)),
+            (Err(i), Some(value)) => self.settings.insert(i, (name, value)),
             (Err(_), None) => {}
         }
         Ok(())
     }
 
-    fn undo_settings(&mut self) {
-        if let Some(it) = self.saved.take() {
-            self.settings = it;
+    /// Restores the settings at the start of the transaction.
+    fn restore_settings(&mut self) {
+        if let Some(settings) = self.saved.take() {
+            self.settings = settings;
         }
     }
 
-    /// A request has no answer of the upstream.
-    fn failed(&mut self, class: Class, outcome: &Outcome) -> BytesMut {
-        let inside = self.txn() != TxnState::Idle;
+    /// Answers a request that has no response of the upstream.
+    fn fail(&mut self, class: Class, outcome: &Outcome) -> BytesMut {
+        let in_txn = self.txn() != TxnState::Idle;
         let ends = matches!(class, Class::Commit | Class::Rollback);
         let error = match outcome {
             Outcome::NotRun { reason, retry_ms } => {
                 self.node.count(Count::NotRun);
-                let what = if inside { "transaction rolled back" } else { "not run" };
-                SqlError::error("PT001", format!("{what}: {reason}"))
+                let effect = if in_txn { "transaction rolled back" } else { "not run" };
+                SqlError::error("PT001", format!("{effect}: {reason}"))
                     .hint(format!("nothing was changed; come back in {} ms", retry_ms.max(&10)))
             }
             Outcome::Unknown { reason } => {
@@ -462,22 +479,23 @@
             }
             Outcome::Done => SqlError::error("XX000", "an answer without messages"),
         };
-        if inside && ends {
-            // The transaction is over, one way or the other.
-            self.undo_settings();
+        if in_txn && ends {
+            // The transaction has ended, whatever its outcome.
+            self.restore_settings();
             self.apply(SessionEvent::Settled);
-        } else if inside {
+        } else if in_txn {
             self.lost = true;
             self.apply(SessionEvent::Failed);
         } else {
             self.saved = None;
         }
-        self.refuse(&error, true)
+        self.reject(&error, true)
     }
 
-    fn change(&mut self, it: Change) -> Result<(), SqlError> {
-        match it {
-            Change::MaxAge(age) => self.max_age = age,
+    /// Applies a change of one of pondtrack's parameters.
+    fn change(&mut self, change: Change) -> Result<(), SqlError> {
+        match change {
+            Change::MaxAge(ms) => self.max_age = ms,
             Change::Timeout(ms) => self.timeout = ms,
             Change::RequestKey(key) => {
                 if self.txn() != TxnState::Idle {
@@ -501,11 +519,12 @@
         Ok(())
     }
 
-    /// What the session carries to another instance.
+    /// Returns the token with which a session on another instance can continue this session.
     fn token(&self) -> SessionToken {
         SessionToken { group: self.group.clone(), mark: self.mark, settings: self.settings.clone() }
     }
 
+    /// Returns the state of the transaction as the caller sees it.
     fn txn(&self) -> TxnState {
         match (self.state, self.lost) {
             (_, true) | (SessionState::Failed, _) => TxnState::Failed,
@@ -514,12 +533,13 @@
         }
     }
 
-    /// An error of pondtrack's own, maybe with the ready-for-query that ends the batch.
-    fn refuse(&mut self, e: &SqlError, ready: bool) -> BytesMut {
+    /// Builds the response for an error of pondtrack itself, with ReadyForQuery if `ready` is set and the
+    /// error is not fatal. An open transaction is abandoned, except after SQLSTATE 25001.
+    fn reject(&mut self, e: &SqlError, ready: bool) -> BytesMut {
         let mut out = BytesMut::new();
         e.put(&mut out);
         if self.txn() == TxnState::Open && e.code != "25001" {
-            // As with any error inside a transaction, it can only be rolled back now.
+            // As after any error inside a transaction, the transaction can only be rolled back.
             self.abandon();
         }
         if ready && e.severity != "FATAL" {
@@ -528,7 +548,7 @@
         out
     }
 
-    /// Gives up the transaction at its home; the caller has yet to end it.
+    /// Rolls back the transaction at its home; for the caller it has failed and still has to be ended.
     fn abandon(&mut self) {
         if let Some(home) = self.home.take() {
             forward::close(&self.node, self.handle.stream, &home);
@@ -537,21 +557,25 @@
         self.apply(SessionEvent::Failed);
     }
 
+    /// Returns a response that consists of ReadyForQuery only.
     fn ready_only(&self) -> BytesMut {
         let mut out = BytesMut::new();
         answer::put_ready(self.txn(), &mut out);
         out
     }
 
+    /// Updates the prepared statements from a response built here.
     fn keep(&mut self, batch: &Batch, out: &BytesMut) {
         batch.keep(out, &mut self.statements);
     }
 
-    fn cleaned(&self, batch: &Batch, out: &BytesMut) -> BytesMut {
+    /// Removes the responses to messages that the caller has not sent.
+    fn strip_added(&self, batch: &Batch, out: &BytesMut) -> BytesMut {
         BytesMut::from(batch.clean(out.to_vec()).as_slice())
     }
 
-    async fn say_leaving(&mut self, write: &mut OwnedWriteHalf) {
+    /// Sends the error that ends the session while the instance leaves, with a token for the next session.
+    async fn send_leaving(&mut self, write: &mut OwnedWriteHalf) {
         let token = self.token().encode();
         let hint = format!("connect again with options '-c pondtrack.token={token}' to go on where you were");
         let mut out = BytesMut::new();
@@ -559,7 +583,8 @@
         let _ = write.write_all(&out).await;
     }
 
-    async fn say_error(&mut self, e: &EdgeError, write: &mut OwnedWriteHalf) {
+    /// Sends the error for a message that can't be read; none for a lost connection.
+    async fn send_error(&mut self, e: &EdgeError, write: &mut OwnedWriteHalf) {
         let error = match e {
             EdgeError::TooLarge { len, max, .. } => {
                 SqlError::fatal("54000", format!("a message of {len} bytes; at most {max} are accepted"))
@@ -572,6 +597,7 @@
         let _ = write.write_all(&out).await;
     }
 
+    /// Applies an event to the session's state machine.
     fn apply(&mut self, event: SessionEvent) {
         match lifecycle::session_chart().next(self.state, event) {
             Ok(next) => self.state = next,
@@ -579,6 +605,7 @@
         }
     }
 
+    /// Ends the session; an open transaction is rolled back at its home.
     fn close(&mut self) {
         if self.txn() != TxnState::Idle
             && let Some(home) = self.home.take()
@@ -595,35 +622,37 @@
     }
 }
 
-fn is_own_set(it: &Stmt) -> bool {
-    matches!(it, Stmt::Set { name, .. } if is_own(name)) || matches!(it, Stmt::ShowSetting(_))
+/// Returns true if a statement sets or shows one of pondtrack's parameters.
+fn is_own(stmt: &Stmt) -> bool {
+    matches!(stmt, Stmt::Set { name, .. } if is_own_name(name)) || matches!(stmt, Stmt::ShowSetting(_))
 }
 
-fn sets_of(list: &[Stmt]) -> Vec<Stmt> {
-    list.iter().filter(|it| matches!(it, Stmt::Set { .. } | Stmt::ResetAll)).cloned().collect()
+/// Returns the statements that change settings.
+fn sets_of(stmts: &[Stmt]) -> Vec<Stmt> {
+    stmts.iter().filter(|stmt| matches!(stmt, Stmt::Set { .. } | Stmt::ResetAll)).cloned().collect()
 }
 
-/// The class of a batch: the most demanding of its statements'.
-fn class_of(list: &[Stmt], executes: bool) -> Class {
-    let mut out = Class::Read;
-    for it in list {
-        let class = match it {
-            Stmt::Run(it) => *it,
+/// Returns the class of a batch: the strictest class of its statements.
+fn class_of(stmts: &[Stmt], executes: bool) -> Class {
+    let mut strictest = Class::Read;
+    for stmt in stmts {
+        let class = match stmt {
+            Stmt::Run(class) => *class,
             _ => Class::Read,
         };
-        out = match (out, class) {
-            (Class::Read, it) | (it, Class::Read) => it,
+        strictest = match (strictest, class) {
+            (Class::Read, other) | (other, Class::Read) => other,
             (Class::Commit, _) | (_, Class::Commit) => Class::Commit,
             (Class::Begin, _) | (_, Class::Begin) => Class::Begin,
             _ => Class::Write,
         };
     }
-    // What is only prepared or described can be so anywhere.
-    if executes { out } else { Class::Read }
+    // Statements that are only prepared or described can be sent to any server.
+    if executes { strictest } else { Class::Read }
 }
 
-/// Whether the last command tag of an answer is this one, its end included.
-fn tag_is(frames: &[u8], tag: &[u8]) -> bool {
-    let last = Frames::new(frames).filter(|it| it.0 == b'C').last();
+/// Returns true if the last command tag of a response equals `tag`, which includes the terminating zero byte.
+fn ends_with_tag(frames: &[u8], tag: &[u8]) -> bool {
+    let last = Frames::new(frames).filter(|frame| frame.0 == b'C').last();
     last.is_some_and(|(_, range)| frames[range.start + 5..range.end] == *tag)
 }
--- a/crates/pondtrackd/src/forward.rs
+++ b/crates/pondtrackd/src/forward.rs
@@ -42,7 +42,7 @@
                 Err(Lost { sent: false }) => reason = format!("the home {home} can't be reached").into(),
                 Err(Lost { sent: true }) => {
                     reason = format!("the link to the home {home} was lost").into();
-                    if !is_idempotent(&req) {
+                    if !is_retryable(&req) {
                         return unknown(req.id, reason);
                     }
                 }
@@ -118,7 +118,7 @@
 }
 
 /// Returns true if a request may be retried after its reply was lost.
-fn is_idempotent(req: &Request) -> bool {
+fn is_retryable(req: &Request) -> bool {
     match req.class {
         Class::Read => true,
         Class::Write => req.key.is_some(),
--- a/crates/pondtrackd/src/gossip.rs
+++ b/crates/pondtrackd/src/gossip.rs
@@ -18,8 +18,8 @@
 /// Order to an instance to leave, as stored on the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaveOrder {
-    /// Incarnation of the instance when the order was issued, or an earlier one of the same process. A process
-    /// that starts later has a higher incarnation from its start and ignores the order.
+    /// Incarnation of the instance when the order was issued. The order also applies to later incarnations
+    /// of the same process, but not to a process that starts later, whose incarnations are all higher.
     pub incarnation: u64,
 }
 
@@ -91,7 +91,7 @@
             let _ = node.udp.try_send_to(&bytes, to);
         }
         Ok(bytes) => {
-            log::warn!(step = "send", peer = to.to_string().as_str(); "datagram of {} bytes exceeds the maximum size", bytes.len())
+            log::warn!(step = "send", peer = to.to_string().as_str(); "datagram too large: {} bytes", bytes.len())
         }
         Err(e) => log::error!(step = "send", peer = to.to_string().as_str(); "{e}"),
     }
@@ -103,7 +103,7 @@
         FactKind::Group => match GroupSpec::parse(&fact.value) {
             Ok(spec) if spec.name == fact.key.name => insert_group(node, spec, fact.version),
             Ok(spec) => {
-                log::error!(subject = fact.key.name.as_str(); "the configuration names another group: {}", spec.name)
+                log::error!(subject = fact.key.name.as_str(); "the configuration is of group {}", spec.name)
             }
             // The previous configuration stays in force.
             Err(e) => log::error!(subject = fact.key.name.as_str(); "{e}"),
