--- a/crates/pondtrackd/src/entry/mod.rs
+++ b/crates/pondtrackd/src/entry/mod.rs
@@ -4,9 +4,9 @@
 //! | --- | --- |
 //! | [`startup`] | the startup phase of a connection |
 //! | [`session`] | state of a session and execution of its batches |
-//! | [`own`] | pondtrack's configuration parameters |
+//! | [`parameter`] | pondtrack's configuration parameters |
 
-pub mod own;
+pub mod parameter;
 pub mod session;
 pub mod startup;
 
@@ -29,7 +29,7 @@
 
 /// Handle to a session, for cancel requests.
 #[derive(Clone)]
-pub struct Handle {
+pub struct SessionHandle {
     /// Process id sent to the caller.
     pub pid: i32,
     /// Secret key sent to the caller, which a cancel request has to contain.
@@ -37,14 +37,14 @@
     /// Number of the session's stream, unique on the instance.
     pub stream: u64,
     /// Home that runs the session's current batch; none between batches.
-    pub home: Rc<RefCell<Option<Name>>>,
+    pub current_home: Rc<RefCell<Option<Name>>>,
 }
 
 /// Sessions of an instance.
 #[derive(Default)]
 pub struct Sessions {
     /// All sessions, sorted by process id.
-    list: RefCell<Vec<Handle>>,
+    list: RefCell<Vec<SessionHandle>>,
     /// Number of sessions per caller, sorted by caller.
     callers: RefCell<Vec<(Name, usize)>>,
     /// Number of connections in the startup phase.
@@ -66,13 +66,13 @@
     }
 
     /// Returns the number of sessions of a caller.
-    pub fn of_caller(&self, caller: &Name) -> usize {
+    pub fn count_by_caller(&self, caller: &Name) -> usize {
         let callers = self.callers.borrow();
         callers.binary_search_by(|entry| entry.0.cmp(caller)).map_or(0, |i| callers[i].1)
     }
 
     /// Adds a session of the caller under a free process id.
-    fn add(&self, node: &Node, caller: &Name) -> Handle {
+    fn add(&self, node: &Node, caller: &Name) -> SessionHandle {
         let mask = (1 << NUMBER_BITS) - 1;
         let mut list = self.list.borrow_mut();
         let (pid, i) = loop {
@@ -83,7 +83,7 @@
             }
         };
         let secret = (node.random() & 0x7fff_ffff) as i32;
-        let handle = Handle { pid, secret, stream: node.unique(), home: Rc::default() };
+        let handle = SessionHandle { pid, secret, stream: node.unique(), current_home: Rc::default() };
         list.insert(i, handle.clone());
         drop(list);
         self.adjust_count(caller, 1);
@@ -113,7 +113,7 @@
     }
 
     /// Returns the session with this process id if the secret key matches.
-    fn find(&self, pid: i32, secret: i32) -> Option<Handle> {
+    fn find(&self, pid: i32, secret: i32) -> Option<SessionHandle> {
         let list = self.list.borrow();
         let i = list.binary_search_by_key(&pid, |handle| handle.pid).ok()?;
         (list[i].secret == secret).then(|| list[i].clone())
@@ -145,7 +145,7 @@
 /// forwarded to all instances that the process id may identify.
 pub fn cancel(node: &Rc<Node>, pid: i32, secret: i32) {
     if pid >> NUMBER_BITS == instance_bits(&node.name) && node.sessions.find(pid, secret).is_some() {
-        cancel_here(node, pid, secret);
+        cancel_local(node, pid, secret);
         return;
     }
     let owners: Vec<Name> = {
@@ -159,10 +159,10 @@
 }
 
 /// Cancels the running batch of a session of this instance if the secret key matches.
-pub fn cancel_here(node: &Rc<Node>, pid: i32, secret: i32) {
+pub fn cancel_local(node: &Rc<Node>, pid: i32, secret: i32) {
     let Some(session) = node.sessions.find(pid, secret) else { return };
-    let home = session.home.borrow().clone();
+    let home = session.current_home.borrow().clone();
     if let Some(home) = home {
-        forward::cancel(node, session.stream, &home);
+        forward::cancel_stream(node, session.stream, &home);
     }
 }
--- a/crates/pondtrackd/src/entry/own.rs
+++ b/crates/pondtrackd/src/entry/parameter.rs
@@ -15,7 +15,7 @@
 
 /// Change of one of the parameters.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum ParameterChange {
     /// Maximum staleness of reads, in milliseconds; none for the group's policy, 0 for current reads only.
     MaxAge(Option<u32>),
     /// Request key of the next statement or transaction.
@@ -29,28 +29,28 @@
 /// Parses a change of a parameter; a `value` of none stands for the default.
 ///
 /// Returns SQLSTATE 22023 for an invalid value and 42704 for an unknown parameter.
-pub fn parse(name: &str, value: Option<&str>) -> Result<Change, SqlError> {
+pub fn parse(name: &str, value: Option<&str>) -> Result<ParameterChange, SqlError> {
     let invalid = |accepted: &str| {
         let text = format!("invalid value for parameter \"{name}\": {:?}", value.unwrap_or("default"));
         SqlError::error("22023", text).hint(format!("it takes {accepted}"))
     };
     let time = "a time such as 500ms or 2s, up to 1h";
     match (name.strip_prefix(PREFIX).unwrap_or(name), value) {
-        ("max_age", None) => Ok(Change::MaxAge(None)),
-        ("max_age", Some("off")) => Ok(Change::MaxAge(Some(0))),
+        ("max_age", None) => Ok(ParameterChange::MaxAge(None)),
+        ("max_age", Some("off")) => Ok(ParameterChange::MaxAge(Some(0))),
         ("max_age", Some(s)) => {
             let accepted = format!("off, or {time}");
-            parse_millis(s).map(|ms| Change::MaxAge(Some(ms))).ok_or_else(|| invalid(&accepted))
+            parse_millis(s).map(|ms| ParameterChange::MaxAge(Some(ms))).ok_or_else(|| invalid(&accepted))
         }
-        ("timeout", None) => Ok(Change::Timeout(None)),
+        ("timeout", None) => Ok(ParameterChange::Timeout(None)),
         ("timeout", Some(s)) => {
-            parse_millis(s).map(|ms| Change::Timeout(Some(ms))).ok_or_else(|| invalid(time))
+            parse_millis(s).map(|ms| ParameterChange::Timeout(Some(ms))).ok_or_else(|| invalid(time))
         }
-        ("request_key", None | Some("")) => Ok(Change::RequestKey(None)),
-        ("request_key", Some(s)) => Ok(Change::RequestKey(Some(s.into()))),
+        ("request_key", None | Some("")) => Ok(ParameterChange::RequestKey(None)),
+        ("request_key", Some(s)) => Ok(ParameterChange::RequestKey(Some(s.into()))),
         ("token", Some(s)) => {
             let token = SessionToken::parse(s).map_err(|e| invalid(&e.to_string()))?;
-            Ok(Change::Token(Box::new(token)))
+            Ok(ParameterChange::Token(Box::new(token)))
         }
         _ => {
             let text = format!("unrecognized configuration parameter \"{name}\"");
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        Handle,
-        own::{self, Change},
-        startup::is_own as is_own_name,
+        SessionHandle,
+        parameter::{self, ParameterChange},
+        startup::is_pondtrack_parameter,
     },
     crate::{
-        forward::{self, Forwarded},
+        forward::{self, ForwardedReply},
         node::Node,
         telemetry::Count,
     },
@@ -43,7 +43,7 @@
 /// A caller's session.
 pub struct Session {
     node: Rc<Node>,
-    handle: Handle,
+    handle: SessionHandle,
     caller: Name,
     group: Name,
     state: SessionState,
@@ -69,7 +69,7 @@
     /// Forwarded to the group's servers; `sets` are its statements that change settings.
     Run { class: Class, sets: Vec<Stmt> },
     /// Changes of pondtrack's configuration parameters, executed here.
-    Own(Vec<Change>),
+    Own(Vec<ParameterChange>),
     /// Query of one of pondtrack's configuration parameters.
     Show(Name),
     /// Empty query.
@@ -100,18 +100,18 @@
     }
 
     /// Returns the handle under which the instance registered the session.
-    pub fn handle(&self) -> &Handle {
+    pub fn handle(&self) -> &SessionHandle {
         &self.handle
     }
 
     /// Applies a setting of the startup message.
     ///
     /// Errors are fatal; SQLSTATE 42704 for an invalid name, 22023 for an encoding other than UTF8.
-    pub fn preset(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
+    pub fn set_startup_param(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
         let name = name.to_ascii_lowercase();
         let fatal = |e: SqlError| SqlError { severity: "FATAL", ..e };
-        if is_own_name(&name) {
-            let change = own::parse(&name, Some(value)).map_err(fatal)?;
+        if is_pondtrack_parameter(&name) {
+            let change = parameter::parse(&name, Some(value)).map_err(fatal)?;
             return self.change(change).map_err(fatal);
         }
         let is_valid = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '.';
@@ -260,7 +260,9 @@
     /// Parses the changes of pondtrack's parameters; SQLSTATE 0A000 if the batch holds other statements.
     fn own_changes(&self, stmts: &[Stmt]) -> Result<Work, SqlError> {
         let parse = |stmt: &Stmt| match stmt {
-            Stmt::Set { name, value, .. } if is_own_name(name) => own::parse(name, value.as_deref()),
+            Stmt::Set { name, value, .. } if is_pondtrack_parameter(name) => {
+                parameter::parse(name, value.as_deref())
+            }
             _ => Err(SqlError::error("0A000", "pondtrack's own settings have to be sent on their own")),
         };
         stmts.iter().map(parse).collect::<Result<_, _>>().map(Work::Own)
@@ -283,7 +285,7 @@
     }
 
     /// Changes pondtrack's parameters.
-    fn execute_own(&mut self, batch: &Batch, changes: Vec<Change>) -> BytesMut {
+    fn execute_own(&mut self, batch: &Batch, changes: Vec<ParameterChange>) -> BytesMut {
         for change in changes {
             if let Err(e) = self.change(change) {
                 return self.reject(&e, true);
@@ -307,8 +309,8 @@
             "timeout" => format!("{}ms", self.timeout_ms()),
             "request_key" => self.key.as_ref().map_or(String::new(), Name::to_string),
             _ => {
-                let text = format!("unrecognized configuration parameter \"{}{name}\"", own::PREFIX);
-                let hint = format!("there are {}; and pondtrack.mark, pondtrack.instance", own::NAMES);
+                let text = format!("unrecognized configuration parameter \"{}{name}\"", parameter::PREFIX);
+                let hint = format!("there are {}; and pondtrack.mark, pondtrack.instance", parameter::NAMES);
                 return self.reject(&SqlError::error("42704", text).hint(hint), true);
             }
         };
@@ -328,9 +330,10 @@
         let trace = self.node.random();
         let req = self.request(&batch, class, !sets.is_empty(), trace);
         let may_be_stale = req.age_ms.is_some() && class == Class::Read;
-        let current_home = self.handle.home.clone();
+        let current_home = self.handle.current_home.clone();
         let span = tracing::debug_span!("entry", trace, caller = self.caller.as_str(), %class);
-        let Forwarded { reply, home } = match self.home.clone().filter(|_| self.txn() != TxnState::Idle) {
+        let ForwardedReply { reply, home } = match self.home.clone().filter(|_| self.txn() != TxnState::Idle)
+        {
             Some(home) => {
                 *current_home.borrow_mut() = Some(home.clone());
                 forward::send_pinned(&self.node, req, &home).instrument(span).await
@@ -493,25 +496,25 @@
     }
 
     /// Applies a change of one of pondtrack's parameters.
-    fn change(&mut self, change: Change) -> Result<(), SqlError> {
+    fn change(&mut self, change: ParameterChange) -> Result<(), SqlError> {
         match change {
-            Change::MaxAge(ms) => self.max_age = ms,
-            Change::Timeout(ms) => self.timeout = ms,
-            Change::RequestKey(key) => {
+            ParameterChange::MaxAge(ms) => self.max_age = ms,
+            ParameterChange::Timeout(ms) => self.timeout = ms,
+            ParameterChange::RequestKey(key) => {
                 if self.txn() != TxnState::Idle {
                     let text = "a request key has to be set before the transaction begins";
                     return Err(SqlError::error("25001", text));
                 }
                 self.key = key;
             }
-            Change::Token(token) if token.group == self.group => {
+            ParameterChange::Token(token) if token.group == self.group => {
                 self.mark.advance(token.mark);
                 self.covered = true;
                 for (name, value) in token.settings {
                     self.set(name, Some(value))?;
                 }
             }
-            Change::Token(token) => {
+            ParameterChange::Token(token) => {
                 let text = format!("the token is of database \"{}\", not \"{}\"", token.group, self.group);
                 return Err(SqlError::error("22023", text));
             }
@@ -551,7 +554,7 @@
     /// Rolls back the transaction at its home; for the caller it has failed and still has to be ended.
     fn abandon(&mut self) {
         if let Some(home) = self.home.take() {
-            forward::close(&self.node, self.handle.stream, &home);
+            forward::close_stream(&self.node, self.handle.stream, &home);
         }
         self.lost = true;
         self.apply(SessionEvent::Failed);
@@ -610,7 +613,7 @@
         if self.txn() != TxnState::Idle
             && let Some(home) = self.home.take()
         {
-            forward::close(&self.node, self.handle.stream, &home);
+            forward::close_stream(&self.node, self.handle.stream, &home);
         }
         self.state = SessionState::Ended;
     }
@@ -624,7 +627,8 @@
 
 /// Returns true if a statement sets or shows one of pondtrack's parameters.
 fn is_own(stmt: &Stmt) -> bool {
-    matches!(stmt, Stmt::Set { name, .. } if is_own_name(name)) || matches!(stmt, Stmt::ShowSetting(_))
+    matches!(stmt, Stmt::Set { name, .. } if is_pondtrack_parameter(name))
+        || matches!(stmt, Stmt::ShowSetting(_))
 }
 
 /// Returns the statements that change settings.
--- a/crates/pondtrackd/src/entry/startup.rs
+++ b/crates/pondtrackd/src/entry/startup.rs
@@ -1,7 +1,7 @@
 //! Startup phase of a caller's connection: encryption requests, cancel requests and the startup message.
 
 use {
-    super::{cancel, own, session::Session},
+    super::{cancel, parameter, session::Session},
     crate::node::Node,
     bytes::BytesMut,
     pgwire::messages::{
@@ -139,7 +139,9 @@
                 }
             }
             CANCEL_REQUEST => return Ok(decode_cancel(&mut packet)),
-            _ if code >> 16 == 3 => return Ok(Some(FirstMessage::Startup(parameters(&packet[8..])?))),
+            _ if code >> 16 == 3 => {
+                return Ok(Some(FirstMessage::Startup(parse_startup_params(&packet[8..])?)));
+            }
             _ => {
                 let (major, minor) = (code >> 16, code & 0xffff);
                 let text = format!("protocol version {major}.{minor} is not supported; 3.0 is");
@@ -160,7 +162,7 @@
 
 /// Parses the parameters of a startup message: names and values, each terminated by a zero byte, and a final
 /// zero byte.
-pub fn parameters(body: &[u8]) -> Result<BTreeMap<String, String>, SqlError> {
+pub fn parse_startup_params(body: &[u8]) -> Result<BTreeMap<String, String>, SqlError> {
     let invalid = |reason: &str| SqlError::fatal("08P01", format!("a bad startup packet: {reason}"));
     let text = std::str::from_utf8(body).map_err(|_| invalid("it is not UTF-8"))?;
     let text = text.strip_suffix('\0').ok_or_else(|| invalid("it is cut short"))?;
@@ -188,7 +190,7 @@
         return Err(SqlError::fatal("57P01", "this instance is leaving").hint(hint));
     }
     if node.sessions.len() >= node.settings.max_sessions
-        || node.sessions.of_caller(&caller) >= node.settings.max_caller_sessions
+        || node.sessions.count_by_caller(&caller) >= node.settings.max_caller_sessions
     {
         return Err(SqlError::fatal("53300", "too many sessions").hint("come back in 1000 ms"));
     }
@@ -196,11 +198,11 @@
     let mut session = Session::new(node, caller, group.as_str().into());
     for (key, value) in &params {
         if !STARTUP_ONLY.contains(&key.as_str()) {
-            session.preset(key, value)?;
+            session.set_startup_param(key, value)?;
         }
     }
-    for (key, value) in options(params.get("options").map_or("", String::as_str))? {
-        session.preset(&key, &value)?;
+    for (key, value) in parse_options(params.get("options").map_or("", String::as_str))? {
+        session.set_startup_param(&key, &value)?;
     }
     Ok(session)
 }
@@ -225,7 +227,7 @@
 }
 
 /// Parses the `-c name=value` and `--name=value` pairs of the options parameter.
-pub fn options(text: &str) -> Result<Vec<(String, String)>, SqlError> {
+pub fn parse_options(text: &str) -> Result<Vec<(String, String)>, SqlError> {
     let mut pairs = Vec::new();
     let mut words = text.split_whitespace();
     while let Some(word) = words.next() {
@@ -265,6 +267,6 @@
 }
 
 /// Returns true if a name is one of pondtrack's configuration parameters.
-pub fn is_own(name: &str) -> bool {
-    name.starts_with(own::PREFIX)
+pub fn is_pondtrack_parameter(name: &str) -> bool {
+    name.starts_with(parameter::PREFIX)
 }
--- a/crates/pondtrackd/src/forward.rs
+++ b/crates/pondtrackd/src/forward.rs
@@ -12,7 +12,7 @@
 const RETRY_MS: u32 = 250;
 
 /// Reply and the home it comes from.
-pub struct Forwarded {
+pub struct ForwardedReply {
     /// The reply.
     pub reply: Reply,
     /// The home; none if no home replied.
@@ -21,7 +21,7 @@
 
 /// Runs a batch outside a transaction at one of the group's homes and retries at the others, own zone
 /// first, until the deadline. `on_attempt` is called with each home before the request is sent to it.
-pub async fn send(node: &Rc<Node>, mut req: Request, on_attempt: &dyn Fn(&Name)) -> Forwarded {
+pub async fn send(node: &Rc<Node>, mut req: Request, on_attempt: &dyn Fn(&Name)) -> ForwardedReply {
     let deadline = node.now() + Time::from(req.left_ms);
     let mut reason = Name::from("the group has no home instance");
     loop {
@@ -38,7 +38,7 @@
                 Ok(Reply { outcome: Outcome::NotRun { reason: new_reason, retry_ms: 0 }, .. }) => {
                     reason = new_reason
                 }
-                Ok(reply) => return Forwarded { reply, home: Some(home) },
+                Ok(reply) => return ForwardedReply { reply, home: Some(home) },
                 Err(Lost { sent: false }) => reason = format!("the home {home} can't be reached").into(),
                 Err(Lost { sent: true }) => {
                     reason = format!("the link to the home {home} was lost").into();
@@ -60,11 +60,11 @@
 }
 
 /// Runs a batch of an open transaction at the home that holds the transaction's connection; never retries.
-pub async fn send_pinned(node: &Rc<Node>, mut req: Request, home: &Name) -> Forwarded {
+pub async fn send_pinned(node: &Rc<Node>, mut req: Request, home: &Name) -> ForwardedReply {
     req.id = node.unique();
     let (id, commits) = (req.id, req.class == Class::Commit);
     match dispatch(node, home, req).await {
-        Ok(reply) => Forwarded { reply, home: Some(home.clone()) },
+        Ok(reply) => ForwardedReply { reply, home: Some(home.clone()) },
         Err(Lost { sent: true }) if commits => {
             unknown(id, format!("the link to the home {home} was lost").into())
         }
@@ -74,7 +74,7 @@
 }
 
 /// Closes a session's stream at the home that holds its transaction, which is rolled back.
-pub fn close(node: &Rc<Node>, stream: u64, home: &Name) {
+pub fn close_stream(node: &Rc<Node>, stream: u64, home: &Name) {
     if *home != node.name {
         node.peers.tell(node, home, &PeerMsg::Close { stream });
         return;
@@ -86,7 +86,7 @@
 }
 
 /// Cancels the running batch of a session at a home.
-pub fn cancel(node: &Rc<Node>, stream: u64, home: &Name) {
+pub fn cancel_stream(node: &Rc<Node>, stream: u64, home: &Name) {
     if *home != node.name {
         node.peers.tell(node, home, &PeerMsg::Cancel { stream });
         return;
@@ -128,16 +128,16 @@
     }
 }
 
-fn not_run(id: u64, reason: Name, retry_ms: u32) -> Forwarded {
+fn not_run(id: u64, reason: Name, retry_ms: u32) -> ForwardedReply {
     without_frames(id, Outcome::NotRun { reason, retry_ms })
 }
 
-fn unknown(id: u64, reason: Name) -> Forwarded {
+fn unknown(id: u64, reason: Name) -> ForwardedReply {
     without_frames(id, Outcome::Unknown { reason })
 }
 
 /// Builds a reply without messages from the upstream.
-fn without_frames(id: u64, outcome: Outcome) -> Forwarded {
+fn without_frames(id: u64, outcome: Outcome) -> ForwardedReply {
     let reply = Reply {
         id,
         outcome,
@@ -146,5 +146,5 @@
         served: ServedBy::None,
         frames: Vec::new(),
     };
-    Forwarded { reply, home: None }
+    ForwardedReply { reply, home: None }
 }
--- a/crates/pondtrackd/src/gossip.rs
+++ b/crates/pondtrackd/src/gossip.rs
@@ -51,7 +51,7 @@
 }
 
 /// Publishes a fact read from the platform; it is gossiped only if it is new to this instance.
-pub fn learn(node: &Rc<Node>, fact: Fact) {
+pub fn publish(node: &Rc<Node>, fact: Fact) {
     let out = node.members.borrow_mut().publish(fact);
     apply(node, out);
 }
--- a/crates/pondtrackd/src/keeper.rs
+++ b/crates/pondtrackd/src/keeper.rs
@@ -128,7 +128,7 @@
 
 fn take(node: &Rc<Node>, kind: FactKind, listing: Listing) {
     for it in listing.objects {
-        gossip::learn(node, fact(kind, &it));
+        gossip::publish(node, fact(kind, &it));
     }
 }
 
--- a/crates/pondtrackd/src/peers.rs
+++ b/crates/pondtrackd/src/peers.rs
@@ -363,7 +363,7 @@
                 it.cancel(&id);
             }
         }
-        PeerMsg::CancelFor { pid, secret } => entry::cancel_here(node, pid, secret),
+        PeerMsg::CancelFor { pid, secret } => entry::cancel_local(node, pid, secret),
         PeerMsg::ProbePrimary { id, group } => {
             let (node, send) = (node.clone(), send.clone());
             tokio::task::spawn_local(async move {
--- a/crates/pondtrackd/tests/startup.rs
+++ b/crates/pondtrackd/tests/startup.rs
@@ -3,8 +3,8 @@
 use {
     pondtrack_core::{classify::classify, token::SessionToken},
     pondtrackd::entry::{
-        own,
-        startup::{options, parameters},
+        parameter,
+        startup::{parse_options, parse_startup_params},
     },
     proptest::prelude::*,
 };
@@ -12,7 +12,7 @@
 proptest! {
     #[test]
     fn any_packet(body in prop::collection::vec(any::<u8>(), 0..120)) {
-        if let Err(e) = parameters(&body) {
+        if let Err(e) = parse_startup_params(&body) {
             prop_assert_eq!(e.code, "08P01");
         }
     }
@@ -27,17 +27,17 @@
             }
         }
         body.push(0);
-        let read = parameters(&body).expect("it is whole");
+        let read = parse_startup_params(&body).expect("it is whole");
         prop_assert_eq!(read.len(), pairs.len());
     }
 
     #[test]
     fn any_text(text in "\\PC{0,60}") {
-        let _ = options(&text);
+        let _ = parse_options(&text);
         let _ = SessionToken::parse(&text);
         let _ = classify(&text);
         for name in ["max_age", "timeout", "request_key", "token", "other"] {
-            let _ = own::parse(&format!("pondtrack.{name}"), Some(&text));
+            let _ = parameter::parse(&format!("pondtrack.{name}"), Some(&text));
         }
     }
 }
