--- a/crates/pondtrackd/src/control.rs
+++ b/crates/pondtrackd/src/control.rs
@@ -23,11 +23,11 @@
 
 /// Why an operator's request fails.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum OperatorError {
     /// It makes no sense as it stands.
     Refused(String),
     /// Something changed meanwhile.
-    Raced(String),
+    Conflict(String),
     /// The platform is needed and doesn't answer.
     Unavailable(String),
 }
@@ -36,10 +36,10 @@
 enum Call {
     Status(oneshot::Sender<Vec<InstanceStatus>>),
     Report(oneshot::Sender<InstanceStatus>),
-    Propose(Name, Intent, oneshot::Sender<Result<Plan, Refusal>>),
-    Confirm(Name, Name, oneshot::Sender<Result<Plan, Refusal>>),
-    Abort(Name, Name, oneshot::Sender<Result<Plan, Refusal>>),
-    Plans(Option<Name>, oneshot::Sender<Result<Vec<Plan>, Refusal>>),
+    Propose(Name, Intent, oneshot::Sender<Result<Plan, OperatorError>>),
+    Confirm(Name, Name, oneshot::Sender<Result<Plan, OperatorError>>),
+    Abort(Name, Name, oneshot::Sender<Result<Plan, OperatorError>>),
+    Plans(Option<Name>, oneshot::Sender<Result<Vec<Plan>, OperatorError>>),
     Explain(Option<Name>, oneshot::Sender<Vec<Decision>>),
 }
 
@@ -88,12 +88,12 @@
 
     async fn try_ask<T>(
         &self,
-        make: impl FnOnce(oneshot::Sender<Result<T, Refusal>>) -> Call,
+        make: impl FnOnce(oneshot::Sender<Result<T, OperatorError>>) -> Call,
     ) -> RpcResult<T> {
         self.ask(make).await?.map_err(|e| match e {
-            Refusal::Refused(text) => error(code::REFUSED, &text),
-            Refusal::Raced(text) => error(code::RACED, &text),
-            Refusal::Unavailable(text) => error(code::UNAVAILABLE, &text),
+            OperatorError::Refused(text) => error(code::REFUSED, &text),
+            OperatorError::Conflict(text) => error(code::RACED, &text),
+            OperatorError::Unavailable(text) => error(code::UNAVAILABLE, &text),
         })
     }
 }
@@ -160,7 +160,7 @@
 fn groups(node: &Rc<Node>) -> Vec<GroupStatus> {
     let all = node.groups.borrow().clone();
     let one = |(spec, version): &(Rc<pondtrack_proto::GroupSpec>, u64)| {
-        let homes = node.homes_of(spec).homes.clone();
+        let homes = node.placement(spec).homes.clone();
         match node.home(&spec.name) {
             Some(it) => it.status(node, homes),
             None => GroupStatus {
@@ -188,7 +188,7 @@
         let (node, question) = (node.clone(), question.clone());
         async move {
             let make = |id| PeerMsg::Query { id, question };
-            match node.peers.ask(&node, &name, make, ASK_LIMIT).await {
+            match node.peers.request(&node, &name, make, ASK_LIMIT).await {
                 Some(PeerMsg::QueryReply { json, .. }) => serde_json::from_str(&json).ok(),
                 _ => None,
             }
--- a/crates/pondtrackd/src/entry/mod.rs
+++ b/crates/pondtrackd/src/entry/mod.rs
@@ -82,7 +82,7 @@
             }
         };
         let secret = (node.random() & 0x7fff_ffff) as i32;
-        let it = Handle { pid, secret, stream: node.unique(), home: Rc::default() };
+        let it = Handle { pid, secret, stream: node.next_id(), home: Rc::default() };
         list.insert(at, it.clone());
         drop(list);
         self.count(caller, 1);
@@ -150,7 +150,7 @@
         others.filter(|it| instance_bits(&it.name) == pid >> NUMBER_BITS).map(|it| it.name.clone()).collect()
     };
     for it in owners {
-        node.peers.tell(node, &it, &PeerMsg::CancelFor { pid, secret });
+        node.peers.send(node, &it, &PeerMsg::CancelFor { pid, secret });
     }
 }
 
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -187,7 +187,7 @@
     ) -> Result<Option<BytesMut>, EdgeError> {
         let node = self.node.clone();
         loop {
-            let leave = node.leave.notified();
+            let leave = node.drain_started.notified();
             let between = batch.frames.is_empty() && !reader.has_more();
             if node.leaving.get() && between && self.state == SessionState::Idle {
                 self.apply(SessionEvent::Leave);
--- a/crates/pondtrackd/src/forward.rs
+++ b/crates/pondtrackd/src/forward.rs
@@ -1,7 +1,7 @@
 //! Choosing a home and passing requests on.
 
 use {
-    crate::{home::exec, node::Node, peers::Lost},
+    crate::{home::exec, node::Node, peers::LinkError},
     pondtrack_core::Time,
     pondtrack_proto::{Class, Name, Outcome, PeerMsg, Reply, Request, ServedBy, TxnState},
     std::{rc::Rc, time::Duration},
@@ -29,15 +29,17 @@
             if left == 0 {
                 return not_run(req.id, reason, RETRY_MS);
             }
-            req.id = node.unique();
+            req.id = node.next_id();
             req.left_ms = left as u32;
             at(&home);
             match pass(node, &home, req.clone()).await {
                 // Another home may reach the primary, or still be one.
                 Ok(Reply { outcome: Outcome::NotRun { reason: why, retry_ms: 0 }, .. }) => reason = why,
                 Ok(reply) => return Forwarded { reply, home: Some(home) },
-                Err(Lost { sent: false }) => reason = format!("the home {home} can't be reached").into(),
-                Err(Lost { sent: true }) => {
+                Err(LinkError { maybe_sent: false }) => {
+                    reason = format!("the home {home} can't be reached").into()
+                }
+                Err(LinkError { maybe_sent: true }) => {
                     reason = format!("the link to the home {home} was lost").into();
                     if !is_repeatable(&req) {
                         return unknown(req.id, reason);
@@ -57,11 +59,11 @@
 
 /// Runs a batch of an open transaction at the home that has it.
 pub async fn send_pinned(node: &Rc<Node>, mut req: Request, home: &Name) -> Forwarded {
-    req.id = node.unique();
+    req.id = node.next_id();
     let (id, commits) = (req.id, req.class == Class::Commit);
     match pass(node, home, req).await {
         Ok(reply) => Forwarded { reply, home: Some(home.clone()) },
-        Err(Lost { sent: true }) if commits => {
+        Err(LinkError { maybe_sent: true }) if commits => {
             unknown(id, format!("the link to the home {home} was lost").into())
         }
         // Without a commit the home rolls back what a lost link leaves open.
@@ -72,7 +74,7 @@
 /// Ends a session at the home that has its transaction.
 pub fn close(node: &Rc<Node>, stream: u64, home: &Name) {
     if *home != node.name {
-        node.peers.tell(node, home, &PeerMsg::Close { stream });
+        node.peers.send(node, home, &PeerMsg::Close { stream });
         return;
     }
     let id = (node.name.clone(), stream);
@@ -84,7 +86,7 @@
 /// Cancels what a session runs at a home.
 pub fn cancel(node: &Rc<Node>, stream: u64, home: &Name) {
     if *home != node.name {
-        node.peers.tell(node, home, &PeerMsg::Cancel { stream });
+        node.peers.send(node, home, &PeerMsg::Cancel { stream });
         return;
     }
     let id = (node.name.clone(), stream);
@@ -97,18 +99,18 @@
 fn homes(node: &Rc<Node>, group: &Name) -> Vec<Name> {
     let Some(spec) = node.group(group) else { return Vec::new() };
     let now = node.now();
-    let mut out = node.homes_of(&spec).near.clone();
-    out.sort_by_key(|it| node.peers.is_shunned(now, it));
+    let mut out = node.placement(&spec).by_proximity.clone();
+    out.sort_by_key(|it| node.peers.recently_failed(now, it));
     out
 }
 
-async fn pass(node: &Rc<Node>, home: &Name, req: Request) -> Result<Reply, Lost> {
+async fn pass(node: &Rc<Node>, home: &Name, req: Request) -> Result<Reply, LinkError> {
     if *home != node.name {
-        return node.peers.request(node, home, req).await;
+        return node.peers.forward(node, home, req).await;
     }
     match node.home(&req.group) {
         Some(it) => Ok(Box::pin(exec::execute(node, &it, &node.name, req)).await),
-        None => Err(Lost { sent: false }),
+        None => Err(LinkError { maybe_sent: false }),
     }
 }
 
--- a/crates/pondtrackd/src/gossip.rs
+++ b/crates/pondtrackd/src/gossip.rs
@@ -64,7 +64,11 @@
     for it in out.changes {
         let before = it.before.map_or("unknown".to_owned(), |it| it.to_string());
         if it.before.is_some() || it.after != MemberState::Alive {
-            node.decide(&it.name, format!("the instance is {}", it.after), format!("it was {before}"));
+            node.record_decision(
+                &it.name,
+                format!("the instance is {}", it.after),
+                format!("it was {before}"),
+            );
         }
     }
     let facts = !out.facts.is_empty();
@@ -103,7 +107,7 @@
         },
         FactKind::Leave if fact.key.name == node.name => {
             let order = serde_json::from_slice::<LeaveOrder>(&fact.value);
-            if order.is_ok_and(|it| it.incarnation >= node.born) {
+            if order.is_ok_and(|it| it.incarnation >= node.incarnation) {
                 crate::run::leave(node, "an operator's plan");
             }
         }
@@ -122,17 +126,17 @@
 
 /// Brings the homes here in line with members and groups.
 pub fn reconcile(node: &Rc<Node>) {
-    node.replace_all();
+    node.invalidate_placements();
     let groups = node.groups.borrow().clone();
     for (spec, version) in groups {
-        let homes = node.homes_of(&spec).homes.clone();
+        let homes = node.placement(&spec).homes.clone();
         let rank = homes.iter().position(|it| *it == node.name);
         let here = node.home(&spec.name);
         match (rank, here) {
             (Some(rank), Some(it)) => it.configure(node, spec, version, rank, homes.len()),
             (Some(rank), None) => begin(node, spec, version, rank, homes),
             (None, Some(it)) if !it.closing.get() => {
-                node.decide(&spec.name, "this instance is no longer a home", names(&homes));
+                node.record_decision(&spec.name, "this instance is no longer a home", names(&homes));
                 it.close(node);
             }
             (None, _) => {}
@@ -148,7 +152,7 @@
     let at = all.partition_point(|old| old.group < it.group);
     all.insert(at, it.clone());
     drop(all);
-    node.decide(&spec.name, format!("this instance is home number {}", rank + 1), names(&homes));
+    node.record_decision(&spec.name, format!("this instance is home number {}", rank + 1), names(&homes));
     for server in 0..it.servers.len() {
         tokio::task::spawn_local(home::monitor::run(node.clone(), it.clone(), server));
     }
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -3,8 +3,8 @@
 use {
     super::{Home, ORDER_LIMIT},
     crate::{
-        keeper::{self, Need},
         node::Node,
+        platform_sync::{self, RefillUrgency},
         telemetry::Count,
     },
     pondtrack_core::{
@@ -78,7 +78,7 @@
         if term != known {
             // What was taken ahead may be below it, and then of no use any longer.
             known = term;
-            keeper::replenish(&node, &home, Need::Ahead);
+            platform_sync::replenish(&node, &home, RefillUrgency::Background);
         }
         if now < quiet_until || home.switching.get() || home.held.get().is_some_and(|it| it > now) {
             continue;
@@ -87,9 +87,9 @@
         if home.grants.borrow().remaining() == 0 {
             // A change begins with a term in hand: its limit would end the calls that bring one, for ever if these
             // are slower than it.
-            keeper::replenish(&node, &home, Need::Now);
+            platform_sync::replenish(&node, &home, RefillUrgency::Immediate);
             if !std::mem::replace(&mut short, true) {
-                node.decide(
+                node.record_decision(
                     &home.group,
                     "a change of primary waits for a term",
                     evidence(&node, &home, cause),
@@ -104,16 +104,16 @@
         if home.detector.borrow().is_vetoed(cause, term, &opinions) {
             node.count(Count::Vetoes);
             let evidence = format!("{cause}; others: {opinions:?}");
-            node.decide(&home.group, "the primary is kept: another home hears it", evidence);
+            node.record_decision(&home.group, "the primary is kept: another home hears it", evidence);
             quiet_until = node.now() + vetoed;
             vetoed = (vetoed * 2).min(VETOED.1);
             continue;
         }
         let evidence = evidence(&node, &home, cause);
-        node.decide(&home.group, format!("the primary is given up: {cause}"), evidence);
+        node.record_decision(&home.group, format!("the primary is given up: {cause}"), evidence);
         let wish = wish(cause, primary);
         if let Err(why) = change(&node, &home, wish).await {
-            node.decide(&home.group, "the change of primary failed", why);
+            node.record_decision(&home.group, "the change of primary failed", why);
         }
         quiet_until = node.now() + AGAIN;
     }
@@ -223,14 +223,14 @@
 /// Asks the other homes whether they hear a primary.
 async fn ask_others(node: &Rc<Node>, home: &Rc<Home>) -> Vec<Opinion> {
     let spec = home.spec.borrow().clone();
-    let homes = node.homes_of(&spec).homes.clone();
+    let homes = node.placement(&spec).homes.clone();
     let mut asks = Vec::new();
     for it in homes.into_iter().filter(|it| *it != node.name) {
         let group = home.group.clone();
         let node = node.clone();
         asks.push(async move {
             let make = |id| PeerMsg::ProbePrimary { id, group };
-            match node.peers.ask(&node, &it, make, OPINION_LIMIT).await {
+            match node.peers.request(&node, &it, make, OPINION_LIMIT).await {
                 Some(PeerMsg::ProbePrimaryReply { term, stalled, .. }) => {
                     Some(Opinion { from: it, term, stalled })
                 }
@@ -256,7 +256,7 @@
     home.changed.notify_waiters();
     if let Ok((term, primary)) = &out {
         node.count(Count::Promotions);
-        keeper::record_term(node, home, *term, primary);
+        platform_sync::record_term(node, home, *term, primary);
     }
     out
 }
@@ -323,7 +323,7 @@
         .map(|(n, last): &(usize, LogPosition)| format!("{} at {last}", home.servers[*n].spec.borrow().name))
         .collect();
     let what = format!("{name} is the primary of term {}", switch.term);
-    node.decide(&home.group, what, format!("fenced: {}", logs.join(", ")));
+    node.record_decision(&home.group, what, format!("fenced: {}", logs.join(", ")));
     (switch.term, name)
 }
 
@@ -333,7 +333,7 @@
     if let Some(it) = home.grants.borrow_mut().take(known) {
         return Ok(it);
     }
-    keeper::refill(node, home).await.map_err(|e| e.to_string())?;
+    platform_sync::allocate_terms(node, home).await.map_err(|e| e.to_string())?;
     home.grants.borrow_mut().take(known).ok_or_else(|| "no term was granted".to_owned())
 }
 
@@ -390,7 +390,7 @@
         return;
     }
     let what = format!("{name} follows the primary of term {term}");
-    node.decide(&home.group, what, format!("it was {} of term {}", before.role, before.term));
+    node.record_decision(&home.group, what, format!("it was {} of term {}", before.role, before.term));
     report_dropped(node, home, n, before, term).await;
 }
 
@@ -404,7 +404,7 @@
             let name = home.servers[n].spec.borrow().name.clone();
             let what = format!("{name} dropped {} entries on rejoining", after.dropped - before.dropped);
             let evidence = format!("its log ended at {}; none of them was acknowledged", before.received);
-            return node.decide(&home.group, what, evidence);
+            return node.record_decision(&home.group, what, evidence);
         }
         if after.received.term >= term {
             // It has rejoined, and had nothing to drop.
--- a/crates/pondtrackd/src/lib.rs
+++ b/crates/pondtrackd/src/lib.rs
@@ -14,7 +14,7 @@
 //! | [`peers`] | links between instances |
 //! | [`home`] | a group's servers: routing, connections, gate, failover |
 //! | [`gossip`] | membership and the spread of facts over datagrams |
-//! | [`keeper`] | the platform: watches, grants, records |
+//! | [`platform_sync`] | the platform: watches, grants, records |
 //! | [`planner`] | plans: made, confirmed, worked on |
 //! | [`control`] | the operator's interface |
 //! | [`run`](mod@run), [`program`] | starting and ending |
@@ -26,10 +26,10 @@
 pub mod gossip;
 pub mod home;
 pub mod hosted;
-pub mod keeper;
 pub mod node;
 pub mod peers;
 pub mod planner;
+pub mod platform_sync;
 pub mod program;
 pub mod reload;
 pub mod run;
--- a/crates/pondtrackd/src/node.rs
+++ b/crates/pondtrackd/src/node.rs
@@ -56,7 +56,7 @@
     /// Set while this instance leaves.
     pub leaving: Cell<bool>,
     /// Woken when this instance begins to leave.
-    pub leave: Notify,
+    pub drain_started: Notify,
     /// Woken when members or groups have changed.
     pub changed: Notify,
     /// Woken when this instance has ended its work.
@@ -64,8 +64,8 @@
     /// The socket for datagrams.
     pub udp: UdpSocket,
     /// Incarnation at the start; orders to leave for an earlier process are older.
-    pub born: u64,
-    placed: RefCell<Vec<Rc<Placed>>>,
+    pub incarnation: u64,
+    placed: RefCell<Vec<Rc<Placement>>>,
     start: Instant,
     rng: RefCell<Pcg64Mcg>,
     next: Cell<u64>,
@@ -78,12 +78,12 @@
         let name = settings.shared_name();
         let zone = Name::from(settings.zone.as_str());
         // Wall-clock time, so that a restart under the same name has a higher incarnation.
-        let born = epoch_ms();
+        let incarnation = epoch_ms();
         let me = MemberView {
             name: name.clone(),
             addr: settings.peer_addr(),
             zone: zone.clone(),
-            incarnation: born,
+            incarnation,
             state: MemberState::Alive,
         };
         let interval = settings.probe_ms;
@@ -111,11 +111,11 @@
             classifier: RefCell::default(),
             counters: Counters::default(),
             leaving: Cell::default(),
-            leave: Notify::new(),
+            drain_started: Notify::new(),
             changed: Notify::new(),
             stopped: Notify::new(),
             udp,
-            born,
+            incarnation,
             placed: RefCell::default(),
             start: Instant::now(),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
@@ -130,7 +130,7 @@
     }
 
     /// A number that is unique on this instance.
-    pub fn unique(&self) -> u64 {
+    pub fn next_id(&self) -> u64 {
         let it = self.next.get();
         self.next.set(it + 1);
         it
@@ -152,7 +152,7 @@
     }
 
     /// Records a decision and logs it.
-    pub fn decide(&self, subject: &Name, what: impl Into<String>, evidence: impl Into<String>) {
+    pub fn record_decision(&self, subject: &Name, what: impl Into<String>, evidence: impl Into<String>) {
         let it = Decision {
             at_ms: epoch_ms(),
             instance: self.name.clone(),
@@ -172,7 +172,7 @@
     }
 
     /// The homes of a group, the first one first.
-    pub fn homes_of(&self, spec: &GroupSpec) -> Rc<Placed> {
+    pub fn placement(&self, spec: &GroupSpec) -> Rc<Placement> {
         let mut placed = self.placed.borrow_mut();
         let at = placed.binary_search_by(|it| it.group.cmp(&spec.name));
         if let Ok(at) = at {
@@ -180,15 +180,15 @@
         }
         let members = self.members.borrow().active();
         let homes = placement::homes(spec, &members);
-        let near = placement::own_zone_first(&homes, &members, &self.zone);
-        let it = Rc::new(Placed { group: spec.name.clone(), homes, near });
+        let by_proximity = placement::own_zone_first(&homes, &members, &self.zone);
+        let it = Rc::new(Placement { group: spec.name.clone(), homes, by_proximity });
         let at = placed.partition_point(|old| old.group < it.group);
         placed.insert(at, it.clone());
         it
     }
 
     /// Members or groups have changed: placement is worked out anew when it is next asked for.
-    pub fn replace_all(&self) {
+    pub fn invalidate_placements(&self) {
         self.placed.borrow_mut().clear();
         self.changed.notify_waiters();
     }
@@ -208,13 +208,13 @@
 
 /// The homes of a group.
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct Placement {
     /// The group.
     pub group: Name,
     /// The homes, the first one first.
     pub homes: Vec<Name>,
     /// The same in the order in which this instance tries them.
-    pub near: Vec<Name>,
+    pub by_proximity: Vec<Name>,
 }
 
 /// Wall-clock time in milliseconds since the epoch; for people, keys and incarnations only.
--- a/crates/pondtrackd/src/peers.rs
+++ b/crates/pondtrackd/src/peers.rs
@@ -42,12 +42,12 @@
 
 /// Why a request got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lost {
+pub struct LinkError {
     /// Whether the peer may have got the request.
-    pub sent: bool,
+    pub maybe_sent: bool,
 }
 
-type Answer = Result<PeerMsg, Lost>;
+type Answer = Result<PeerMsg, LinkError>;
 
 struct Waiting {
     id: u64,
@@ -74,35 +74,35 @@
 
 impl Peers {
     /// Whether a peer's link broke a short while ago.
-    pub fn is_shunned(&self, now: Time, peer: &Name) -> bool {
+    pub fn recently_failed(&self, now: Time, peer: &Name) -> bool {
         self.shunned.borrow().iter().any(|it| it.0 == *peer && it.1 > now)
     }
 
     /// Sends a request and waits for its reply.
-    pub async fn request(&self, node: &Rc<Node>, peer: &Name, req: Request) -> Result<Reply, Lost> {
+    pub async fn forward(&self, node: &Rc<Node>, peer: &Name, req: Request) -> Result<Reply, LinkError> {
         let id = req.id;
         let left = Duration::from_millis(u64::from(req.left_ms) + u64::from(SILENCE as u32));
-        let receive = self.send(node, peer, id, &PeerMsg::Request(req))?;
+        let receive = self.enqueue(node, peer, id, &PeerMsg::Request(req))?;
         match timeout(left, receive).await {
             Ok(Ok(Ok(PeerMsg::Reply(it)))) => Ok(it),
             Ok(Ok(Err(lost))) => Err(lost),
             _ => {
                 self.forget(id);
-                Err(Lost { sent: true })
+                Err(LinkError { maybe_sent: true })
             }
         }
     }
 
     /// Asks a question, bounded in time.
-    pub async fn ask(
+    pub async fn request(
         &self,
         node: &Rc<Node>,
         peer: &Name,
         make: impl FnOnce(u64) -> PeerMsg,
         limit: Duration,
     ) -> Option<PeerMsg> {
-        let id = node.unique();
-        let receive = self.send(node, peer, id, &make(id)).ok()?;
+        let id = node.next_id();
+        let receive = self.enqueue(node, peer, id, &make(id)).ok()?;
         let out = timeout(limit, receive).await;
         if out.is_err() {
             self.forget(id);
@@ -111,20 +111,20 @@
     }
 
     /// Sends a message that needs no answer.
-    pub fn tell(&self, node: &Rc<Node>, peer: &Name, msg: &PeerMsg) {
+    pub fn send(&self, node: &Rc<Node>, peer: &Name, msg: &PeerMsg) {
         if let Some(link) = self.link(node, peer) {
             let _ = link.send.try_send(link::encode(msg));
         }
     }
 
-    fn send(
+    fn enqueue(
         &self,
         node: &Rc<Node>,
         peer: &Name,
         id: u64,
         msg: &PeerMsg,
-    ) -> Result<oneshot::Receiver<Answer>, Lost> {
-        let link = self.link(node, peer).ok_or(Lost { sent: false })?;
+    ) -> Result<oneshot::Receiver<Answer>, LinkError> {
+        let link = self.link(node, peer).ok_or(LinkError { maybe_sent: false })?;
         let (send, receive) = oneshot::channel();
         if self.waiting.borrow().iter().all(|it| it.link != link.id) {
             // Silence counts from here: nothing was owed before.
@@ -133,7 +133,7 @@
         self.waiting.borrow_mut().push(Waiting { id, link: link.id, send });
         if link.send.try_send(link::encode(msg)).is_err() {
             self.forget(id);
-            return Err(Lost { sent: false });
+            return Err(LinkError { maybe_sent: false });
         }
         Ok(receive)
     }
@@ -147,7 +147,7 @@
         let addr = node.members.borrow().get(peer)?.addr;
         let (send, receive) = mpsc::channel(QUEUE);
         let heard = Rc::new(Cell::new(node.now()));
-        let it = Link { peer: peer.clone(), id: node.unique(), send, up: Rc::default(), heard };
+        let it = Link { peer: peer.clone(), id: node.next_id(), send, up: Rc::default(), heard };
         let mut links = self.links.borrow_mut();
         let at = links.partition_point(|old| old.peer < it.peer);
         links.insert(at, it.clone());
@@ -173,9 +173,9 @@
         let (lost, rest): (Vec<_>, Vec<_>) = all.into_iter().partition(|it| it.link == link.id);
         // Requests that came meanwhile are kept, as they may be on other links.
         self.waiting.borrow_mut().extend(rest);
-        let sent = link.up.get();
+        let maybe_sent = link.up.get();
         for it in lost {
-            let _ = it.send.send(Err(Lost { sent }));
+            let _ = it.send.send(Err(LinkError { maybe_sent }));
         }
         let until = node.now() + SHUNNED;
         let mut shunned = self.shunned.borrow_mut();
@@ -298,7 +298,7 @@
         return;
     };
     // A stream belongs to its link: what a lost link left open is rolled back with it.
-    let origin = Name::from(format!("{from}/{}", node.unique()));
+    let origin = Name::from(format!("{from}/{}", node.next_id()));
     let (send, mut queue) = mpsc::channel(QUEUE);
     let running = Rc::new(Cell::new(0u32));
     tokio::select! {
@@ -374,11 +374,11 @@
         PeerMsg::PauseWrites { id, group, ms } => {
             let (node, send) = (node.clone(), send.clone());
             tokio::task::spawn_local(async move {
-                let open = hold(&node, &group, ms).await;
+                let open = pause_writes(&node, &group, ms).await;
                 let _ = send.send(link::encode(&PeerMsg::WritesPaused { id, open })).await;
             });
         }
-        PeerMsg::ResumeWrites { group } => release(node, &group),
+        PeerMsg::ResumeWrites { group } => resume_writes(node, &group),
         PeerMsg::Query { id, question } => {
             let json = tell(node, &question);
             let _ = send.try_send(link::encode(&PeerMsg::QueryReply { id, json }));
@@ -426,7 +426,7 @@
 }
 
 /// Holds new work for a group's primary here; hands back how many transactions are still open.
-pub async fn hold(node: &Rc<Node>, group: &Name, ms: u32) -> u32 {
+pub async fn pause_writes(node: &Rc<Node>, group: &Name, ms: u32) -> u32 {
     let Some(home) = node.home(group) else { return 0 };
     let until = node.now() + Time::from(ms);
     home.held.set(Some(until));
@@ -441,7 +441,7 @@
 }
 
 /// Ends a hold.
-pub fn release(node: &Rc<Node>, group: &Name) {
+pub fn resume_writes(node: &Rc<Node>, group: &Name) {
     if let Some(home) = node.home(group) {
         home.held.set(None);
         home.changed.notify_waiters();
--- a/crates/pondtrackd/src/planner.rs
+++ b/crates/pondtrackd/src/planner.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{
-        control::{self, Refusal},
+        control::{self, OperatorError},
         gossip::LeaveOrder,
         home::{ORDER_LIMIT, failover},
         node::{Node, epoch_ms},
@@ -38,10 +38,10 @@
 /// Tries of a conditional update that others race.
 const PUT_TRIES: usize = 8;
 
-fn refusal(e: &PlatformError) -> Refusal {
+fn refusal(e: &PlatformError) -> OperatorError {
     match e {
-        PlatformError::Unavailable { .. } => Refusal::Unavailable(e.to_string()),
-        _ => Refusal::Raced(e.to_string()),
+        PlatformError::Unavailable { .. } => OperatorError::Unavailable(e.to_string()),
+        _ => OperatorError::Conflict(e.to_string()),
     }
 }
 
@@ -50,7 +50,7 @@
 }
 
 /// Makes a plan; nothing changes yet.
-pub async fn propose(node: &Rc<Node>, operator: Name, intent: Intent) -> Result<Plan, Refusal> {
+pub async fn propose(node: &Rc<Node>, operator: Name, intent: Intent) -> Result<Plan, OperatorError> {
     let outlook = outlook(node, &intent).await?;
     let word = match &intent {
         Intent::Drain { .. } => "drain",
@@ -61,7 +61,7 @@
     };
     let name = Name::from(format!("{word}-{:08x}", node.random() as u32));
     let mut it =
-        plan::propose(name, operator, intent, &outlook).map_err(|e| Refusal::Refused(e.to_string()))?;
+        plan::propose(name, operator, intent, &outlook).map_err(|e| OperatorError::Refused(e.to_string()))?;
     let text = format!("proposed by {} at {}", it.operator, node.name);
     note(&mut it, &text);
     it.change = node.random();
@@ -69,7 +69,7 @@
     Ok(it)
 }
 
-async fn put_new(node: &Rc<Node>, it: &Plan) -> Result<(), Refusal> {
+async fn put_new(node: &Rc<Node>, it: &Plan) -> Result<(), OperatorError> {
     match node.platform.put(kind(FactKind::Plan), &it.name, 0, it).await {
         Ok(_) => Ok(()),
         Err(e @ PlatformError::Unavailable { .. }) => match read_plan(node, &it.name).await {
@@ -81,7 +81,7 @@
 }
 
 /// What a plan is made from: the platform's own objects and the homes' views.
-async fn outlook(node: &Rc<Node>, intent: &Intent) -> Result<ClusterView, Refusal> {
+async fn outlook(node: &Rc<Node>, intent: &Intent) -> Result<ClusterView, OperatorError> {
     let listing = node.platform.list(kind(FactKind::Group)).await.map_err(|e| refusal(&e))?;
     let mut groups = Vec::new();
     for it in &listing.objects {
@@ -100,11 +100,13 @@
     Ok(ClusterView { groups, primaries, members })
 }
 
-async fn read_plan(node: &Node, name: &Name) -> Result<(Plan, u64), Refusal> {
+async fn read_plan(node: &Node, name: &Name) -> Result<(Plan, u64), OperatorError> {
     let it: Object = match node.platform.get(kind(FactKind::Plan), name).await {
         Ok(it) => it,
         Err(PlatformError::Missing { .. }) => {
-            return Err(Refusal::Refused(format!("there is no plan {name:?}; pondtrack plans lists them")));
+            return Err(OperatorError::Refused(format!(
+                "there is no plan {name:?}; pondtrack plans lists them"
+            )));
         }
         Err(e) => return Err(refusal(&e)),
     };
@@ -113,7 +115,7 @@
 }
 
 /// Confirms a plan, if what it was made from still stands.
-pub async fn confirm(node: &Rc<Node>, operator: &Name, name: &Name) -> Result<Plan, Refusal> {
+pub async fn confirm(node: &Rc<Node>, operator: &Name, name: &Name) -> Result<Plan, OperatorError> {
     let (mut it, version) = read_plan(node, name).await?;
     if it.state == PlanState::Running {
         return Ok(it);
@@ -129,31 +131,31 @@
                 "{kind} {object} has changed since the plan was made: version {seen} became {now}; \
                  look at pondtrack status and make a new plan"
             );
-            return Err(Refusal::Raced(text));
+            return Err(OperatorError::Conflict(text));
         }
     }
-    plan::advance(&mut it, PlanEvent::Confirm).map_err(|e| Refusal::Refused(e.to_string()))?;
+    plan::advance(&mut it, PlanEvent::Confirm).map_err(|e| OperatorError::Refused(e.to_string()))?;
     note(&mut it, &format!("confirmed by {operator} at {}", node.name));
     put_plan(node, &mut it, version).await?;
     Ok(it)
 }
 
 /// Ends a plan before its end; a step that is under way is finished.
-pub async fn abort(node: &Rc<Node>, operator: &Name, name: &Name) -> Result<Plan, Refusal> {
+pub async fn abort(node: &Rc<Node>, operator: &Name, name: &Name) -> Result<Plan, OperatorError> {
     for _ in 0..PUT_TRIES {
         let (mut it, version) = read_plan(node, name).await?;
-        plan::advance(&mut it, PlanEvent::Abort).map_err(|e| Refusal::Refused(e.to_string()))?;
+        plan::advance(&mut it, PlanEvent::Abort).map_err(|e| OperatorError::Refused(e.to_string()))?;
         note(&mut it, &format!("aborted by {operator} at {}", node.name));
         match put_plan(node, &mut it, version).await {
-            Err(Refusal::Raced(_)) => {}
+            Err(OperatorError::Conflict(_)) => {}
             other => return other.map(|()| it),
         }
     }
-    Err(Refusal::Raced(format!("plan {name} keeps changing")))
+    Err(OperatorError::Conflict(format!("plan {name} keeps changing")))
 }
 
 /// A plan as it stands, or all.
-pub async fn list(node: &Rc<Node>, name: Option<&Name>) -> Result<Vec<Plan>, Refusal> {
+pub async fn list(node: &Rc<Node>, name: Option<&Name>) -> Result<Vec<Plan>, OperatorError> {
     if let Some(it) = name {
         return read_plan(node, it).await.map(|it| vec![it.0]);
     }
@@ -162,7 +164,7 @@
 }
 
 /// Writes a plan on condition of its version; a lost answer is recognised by the change's id.
-async fn put_plan(node: &Rc<Node>, it: &mut Plan, version: u64) -> Result<(), Refusal> {
+async fn put_plan(node: &Rc<Node>, it: &mut Plan, version: u64) -> Result<(), OperatorError> {
     it.change = node.random();
     match node.platform.put(kind(FactKind::Plan), &it.name, version, it).await {
         Ok(_) => Ok(()),
@@ -214,7 +216,7 @@
         Intent::Configure { spec } => Some(&spec.name),
         Intent::Stop { .. } => None,
     };
-    let home = group.and_then(|it| node.group(it)).and_then(|it| node.homes_of(&it).homes.first().cloned());
+    let home = group.and_then(|it| node.group(it)).and_then(|it| node.placement(&it).homes.first().cloned());
     let members = node.members.borrow().active();
     // An instance does not work on its own stop: its end would end the work.
     let own = |name: &Name| matches!(&it.intent, Intent::Stop { instance } if instance == name);
@@ -245,7 +247,7 @@
                 let event = if last { PlanEvent::Finish } else { PlanEvent::Progress };
                 finish(node, &mut it, version, event, &text).await;
             }
-            Err(Refusal::Refused(reason)) => {
+            Err(OperatorError::Refused(reason)) => {
                 it.steps[at].1 = StepState::Failed { reason: reason.clone() };
                 finish(node, &mut it, version, PlanEvent::Fail, &reason).await;
                 return;
@@ -260,7 +262,7 @@
         return;
     }
     note(it, &format!("{}: {text}", node.name));
-    node.decide(
+    node.record_decision(
         &it.name,
         format!("plan step: {text}"),
         format!("intent of {}: {:?}", it.operator, it.intent),
@@ -270,7 +272,7 @@
 }
 
 /// Does a step; it may have been done before.
-async fn perform(node: &Rc<Node>, step: &Step, plan: &Plan) -> Result<String, Refusal> {
+async fn perform(node: &Rc<Node>, step: &Step, plan: &Plan) -> Result<String, OperatorError> {
     match step {
         Step::Switch { group, server } => switch(node, group, server).await,
         Step::Mark { group, server, draining } => mark(node, group, server, *draining).await,
@@ -279,13 +281,13 @@
     }
 }
 
-async fn mark(node: &Rc<Node>, group: &Name, server: &Name, draining: bool) -> Result<String, Refusal> {
+async fn mark(node: &Rc<Node>, group: &Name, server: &Name, draining: bool) -> Result<String, OperatorError> {
     for _ in 0..PUT_TRIES {
         let it = node.platform.get(kind(FactKind::Group), group).await.map_err(|e| refusal(&e))?;
         let mut spec: GroupSpec = it.read().map_err(|e| refusal(&e))?;
         spec.servers.sort_by(|a, b| a.name.cmp(&b.name));
         let Some(at) = spec.server_index(server) else {
-            return Err(Refusal::Refused(format!("{server} is no longer a server of {group}")));
+            return Err(OperatorError::Refused(format!("{server} is no longer a server of {group}")));
         };
         let text = format!("{server} of {group} is {}", if draining { "draining" } else { "in use" });
         if spec.servers[at].draining == draining {
@@ -299,10 +301,10 @@
             Err(e) => return Err(refusal(&e)),
         }
     }
-    Err(Refusal::Raced(format!("group {group} keeps changing")))
+    Err(OperatorError::Conflict(format!("group {group} keeps changing")))
 }
 
-async fn write(node: &Rc<Node>, spec: &GroupSpec, plan: &Plan) -> Result<String, Refusal> {
+async fn write(node: &Rc<Node>, spec: &GroupSpec, plan: &Plan) -> Result<String, OperatorError> {
     let text = format!("group {} is configured", spec.name);
     let (now, version) = match node.platform.get(kind(FactKind::Group), &spec.name).await {
         Ok(it) => (it.read::<GroupSpec>().ok(), it.version),
@@ -314,13 +316,16 @@
     }
     let basis = plan.basis.first().map_or(0, |it| it.2);
     if version != basis {
-        return Err(Refusal::Refused(format!("group {} was changed by somebody else meanwhile", spec.name)));
+        return Err(OperatorError::Refused(format!(
+            "group {} was changed by somebody else meanwhile",
+            spec.name
+        )));
     }
     node.platform.put(kind(FactKind::Group), &spec.name, basis, spec).await.map_err(|e| refusal(&e))?;
     Ok(text)
 }
 
-async fn leave(node: &Rc<Node>, instance: &Name) -> Result<String, Refusal> {
+async fn leave(node: &Rc<Node>, instance: &Name) -> Result<String, OperatorError> {
     let Some(incarnation) = node.members.borrow().get(instance).map(|it| it.incarnation) else {
         return Ok(format!("{instance} is gone"));
     };
@@ -339,12 +344,12 @@
 }
 
 /// A planned switch: hold new work, let the next primary catch up, promote it.
-async fn switch(node: &Rc<Node>, group: &Name, server: &Name) -> Result<String, Refusal> {
+async fn switch(node: &Rc<Node>, group: &Name, server: &Name) -> Result<String, OperatorError> {
     let Some(home) = node.home(group) else {
-        return Err(Refusal::Raced("this instance is not a home yet".to_owned()));
+        return Err(OperatorError::Conflict("this instance is not a home yet".to_owned()));
     };
     let Some(target) = home.spec.borrow().server_index(server) else {
-        return Err(Refusal::Refused(format!("{server} is no server of {group}")));
+        return Err(OperatorError::Refused(format!("{server} is no server of {group}")));
     };
     let mut last = String::new();
     for attempt in 1..=SWITCH_TRIES {
@@ -368,7 +373,7 @@
         }
         sleep(SWITCH_PAUSE).await;
     }
-    Err(Refusal::Refused(format!("{server} did not become the primary: {last}")))
+    Err(OperatorError::Refused(format!("{server} did not become the primary: {last}")))
 }
 
 fn near(home: &crate::home::Home, from: usize, target: usize) -> bool {
@@ -389,14 +394,14 @@
     let began = node.now();
     let others: Vec<Name> = {
         let spec = home.spec.borrow().clone();
-        let homes = node.homes_of(&spec).homes.clone();
+        let homes = node.placement(&spec).homes.clone();
         homes.into_iter().filter(|it| *it != node.name).collect()
     };
     let holds = others.iter().map(|it| {
         let make = |id| PeerMsg::PauseWrites { id, group: home.group.clone(), ms: HOLD_MS };
-        node.peers.ask(node, it, make, HOLD_LIMIT)
+        node.peers.request(node, it, make, HOLD_LIMIT)
     });
-    let own = peers::hold(node, &home.group, HOLD_MS);
+    let own = peers::pause_writes(node, &home.group, HOLD_MS);
     let (answers, open) = tokio::join!(futures::future::join_all(holds), own);
     let theirs: u32 = answers
         .iter()
@@ -407,9 +412,9 @@
         _ if force => promote(node, home, from, target).await,
         n => Err(format!("{n} transactions are still open")),
     };
-    peers::release(node, &home.group);
+    peers::resume_writes(node, &home.group);
     for it in &others {
-        node.peers.tell(node, it, &PeerMsg::ResumeWrites { group: home.group.clone() });
+        node.peers.send(node, it, &PeerMsg::ResumeWrites { group: home.group.clone() });
     }
     out.map(|text| format!("{text}; work was held for {} ms", node.now() - began))
 }
--- a/crates/pondtrackd/src/keeper.rs
+++ b/crates/pondtrackd/src/platform_sync.rs
@@ -19,18 +19,18 @@
 /// Kinds of objects that are no facts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum Kind {
+pub enum ObjectKind {
     /// Terms given out, by group.
     Term,
 }
 
 /// How soon terms are needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum RefillUrgency {
     /// For a failover to come.
-    Ahead,
+    Background,
     /// A failover waits for them.
-    Now,
+    Immediate,
 }
 
 /// Kinds that are watched and spread.
@@ -70,7 +70,7 @@
 }
 
 /// Copies the platform client's counts into the instance's own.
-pub fn count_calls(node: &Node, before: &mut Vec<(Call, u64)>) {
+pub fn record_call_counts(node: &Node, before: &mut Vec<(Call, u64)>) {
     let now = node.platform.calls();
     for (call, n) in &now {
         let old = before.iter().find(|it| it.0 == *call).map_or(0, |it| it.1);
@@ -187,12 +187,12 @@
 /// Takes terms ahead for the homes here that are low on them.
 pub fn replenish_all(node: &Rc<Node>) {
     for home in node.homes.borrow().iter() {
-        replenish(node, home, Need::Ahead);
+        replenish(node, home, RefillUrgency::Background);
     }
 }
 
 /// Drops the terms of a home that are no longer of use, and takes more in the background if few are left.
-pub fn replenish(node: &Rc<Node>, home: &Rc<Home>, need: Need) {
+pub fn replenish(node: &Rc<Node>, home: &Rc<Home>, need: RefillUrgency) {
     let mut grants = home.grants.borrow_mut();
     grants.discard_through(home.term());
     let (low, none) = (grants.is_low(), grants.remaining() == 0);
@@ -209,13 +209,13 @@
     });
 }
 
-async fn take_block(node: &Rc<Node>, home: &Home, need: Need) {
-    if need == Need::Ahead {
+async fn take_block(node: &Rc<Node>, home: &Home, need: RefillUrgency) {
+    if need == RefillUrgency::Background {
         sleep(Duration::from_millis(node.random() % REFILL_SPREAD)).await;
     }
-    if let Err(e) = refill(node, home).await {
+    if let Err(e) = allocate_terms(node, home).await {
         // Where a failover waits for the term, this is why it doesn't come about.
-        let level = if need == Need::Now { log::Level::Warn } else { log::Level::Debug };
+        let level = if need == RefillUrgency::Immediate { log::Level::Warn } else { log::Level::Debug };
         log::log!(level, step = "grant", peer = "platform", subject = home.group.as_str(); "no term: {e}");
         sleep(REFILL_PAUSE).await;
     }
@@ -225,13 +225,13 @@
 /// the one home is lost whose block lies above the term in force.
 async fn share_terms(node: &Rc<Node>, home: &Home) -> bool {
     let known = home.term();
-    let homes = node.homes_of(&home.spec.borrow()).homes.clone();
+    let homes = node.placement(&home.spec.borrow()).homes.clone();
     for peer in homes.into_iter().filter(|it| *it != node.name) {
         let make = |id| PeerMsg::ReserveTerms { id, group: home.group.clone(), known };
-        let answer = node.peers.ask(node, &peer, make, SHARE_LIMIT).await;
+        let answer = node.peers.request(node, &peer, make, SHARE_LIMIT).await;
         if let Some(PeerMsg::ReserveTermsReply { block: Some((first, end)), .. }) = answer {
             home.grants.borrow_mut().add(first, end);
-            node.decide(
+            node.record_decision(
                 &home.group,
                 "terms of another home were taken over",
                 format!("{first} to {end}, of {peer}"),
@@ -243,8 +243,8 @@
 }
 
 /// Takes one more block of terms for a group.
-pub async fn refill(node: &Rc<Node>, home: &Home) -> Result<(), PlatformError> {
-    let kind: &'static str = Kind::Term.into();
+pub async fn allocate_terms(node: &Rc<Node>, home: &Home) -> Result<(), PlatformError> {
+    let kind: &'static str = ObjectKind::Term.into();
     loop {
         let (record, version) = read_term(node, &home.group).await?;
         let change = node.random();
@@ -264,7 +264,7 @@
 }
 
 async fn read_term(node: &Node, group: &Name) -> Result<(TermRecord, u64), PlatformError> {
-    match node.platform.get(Kind::Term.into(), group).await {
+    match node.platform.get(ObjectKind::Term.into(), group).await {
         Ok(it) => Ok((it.read()?, it.version)),
         Err(PlatformError::Missing { .. }) => Ok((TermRecord::default(), 0)),
         Err(e) => Err(e),
@@ -293,5 +293,5 @@
     let next = Term(record.next.0.max(term.0 + 1));
     let change = node.random();
     let record = TermRecord { term, primary: primary.clone(), next, change };
-    node.platform.put(Kind::Term.into(), group, version, &record).await.map(drop)
+    node.platform.put(ObjectKind::Term.into(), group, version, &record).await.map(drop)
 }
--- a/crates/pondtrackd/src/run.rs
+++ b/crates/pondtrackd/src/run.rs
@@ -1,7 +1,9 @@
 //! Starting, running and ending an instance.
 
 use {
-    crate::{control, entry, gossip, keeper, node::Node, peers, planner, settings::Settings, telemetry},
+    crate::{
+        control, entry, gossip, node::Node, peers, planner, platform_sync, settings::Settings, telemetry,
+    },
     pondtrack_core::timer::Timers,
     snafu::{ResultExt, Snafu},
     std::{io, net::SocketAddr, rc::Rc, time::Duration},
@@ -122,7 +124,7 @@
     let accepting = tokio::task::spawn_local(entry::serve(node.clone(), callers));
     tokio::task::spawn_local(peers::serve(node.clone(), links));
     tokio::task::spawn_local(gossip::serve(node.clone()));
-    tokio::task::spawn_local(keeper::run(node.clone()));
+    tokio::task::spawn_local(platform_sync::run(node.clone()));
     tokio::task::spawn_local(planner::run(node.clone()));
     tokio::task::spawn_local(timers(node.clone()));
     log::info!(instance = node.name.as_str(), zone = node.zone.as_str(), listen = addrs.callers.to_string().as_str(); "up");
@@ -147,9 +149,9 @@
         for it in timers.take_due(now) {
             match it {
                 Part::Members => gossip::tick(&node),
-                Part::Grants => keeper::replenish_all(&node),
+                Part::Grants => platform_sync::replenish_all(&node),
                 Part::Homes => node.homes.borrow_mut().retain(|it| !it.is_over()),
-                Part::Calls => keeper::count_calls(&node, &mut calls),
+                Part::Calls => platform_sync::record_call_counts(&node, &mut calls),
             }
             timers.set(it, now + it.period(&node.settings));
         }
@@ -163,11 +165,11 @@
     if node.leaving.replace(true) {
         return;
     }
-    node.decide(&node.name, "this instance leaves", why);
+    node.record_decision(&node.name, "this instance leaves", why);
     let out = node.members.borrow_mut().leave();
     gossip::apply(node, out);
     gossip::reconcile(node);
-    node.leave.notify_waiters();
+    node.drain_started.notify_waiters();
     node.stopped.notify_one();
 }
 
