--- a/crates/pondtrackd/src/entry/mod.rs
+++ b/crates/pondtrackd/src/entry/mod.rs
@@ -83,7 +83,7 @@
             }
         };
         let secret = (node.random() & 0x7fff_ffff) as i32;
-        let handle = SessionHandle { pid, secret, stream: node.unique(), current_home: Rc::default() };
+        let handle = SessionHandle { pid, secret, stream: node.next_id(), current_home: Rc::default() };
         list.insert(i, handle.clone());
         drop(list);
         self.adjust_count(caller, 1);
@@ -154,7 +154,7 @@
         others.filter(|m| instance_bits(&m.name) == pid >> NUMBER_BITS).map(|m| m.name.clone()).collect()
     };
     for owner in owners {
-        node.peers.tell(node, &owner, &PeerMsg::CancelFor { pid, secret });
+        node.peers.send(node, &owner, &PeerMsg::CancelFor { pid, secret });
     }
 }
 
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -191,7 +191,7 @@
     ) -> Result<Option<BytesMut>, EdgeError> {
         let node = self.node.clone();
         loop {
-            let leave = node.leave.notified();
+            let leave = node.drain_started.notified();
             let between_batches = batch.frames.is_empty() && !reader.has_buffered();
             if node.leaving.get() && between_batches && self.state == SessionState::Idle {
                 self.apply(SessionEvent::Leave);
--- a/crates/pondtrackd/src/forward.rs
+++ b/crates/pondtrackd/src/forward.rs
@@ -1,7 +1,7 @@
 //! Selection of a home and forwarding of requests to it.
 
 use {
-    crate::{home::exec, node::Node, peers::Lost},
+    crate::{home::exec, node::Node, peers::LinkError},
     pondtrack_core::Time,
     pondtrack_proto::{Class, Name, Outcome, PeerMsg, Reply, Request, ServedBy, TxnState},
     std::{rc::Rc, time::Duration},
@@ -30,7 +30,7 @@
             if left == 0 {
                 return not_run(req.id, reason, RETRY_MS);
             }
-            req.id = node.unique();
+            req.id = node.next_id();
             req.left_ms = left as u32;
             on_attempt(&home);
             match dispatch(node, &home, req.clone()).await {
@@ -39,8 +39,10 @@
                     reason = new_reason
                 }
                 Ok(reply) => return ForwardedReply { reply, home: Some(home) },
-                Err(Lost { sent: false }) => reason = format!("the home {home} can't be reached").into(),
-                Err(Lost { sent: true }) => {
+                Err(LinkError { maybe_sent: false }) => {
+                    reason = format!("the home {home} can't be reached").into()
+                }
+                Err(LinkError { maybe_sent: true }) => {
                     reason = format!("the link to the home {home} was lost").into();
                     if !is_retryable(&req) {
                         return unknown(req.id, reason);
@@ -61,11 +63,11 @@
 
 /// Runs a batch of an open transaction at the home that holds the transaction's connection; never retries.
 pub async fn send_pinned(node: &Rc<Node>, mut req: Request, home: &Name) -> ForwardedReply {
-    req.id = node.unique();
+    req.id = node.next_id();
     let (id, commits) = (req.id, req.class == Class::Commit);
     match dispatch(node, home, req).await {
         Ok(reply) => ForwardedReply { reply, home: Some(home.clone()) },
-        Err(Lost { sent: true }) if commits => {
+        Err(LinkError { maybe_sent: true }) if commits => {
             unknown(id, format!("the link to the home {home} was lost").into())
         }
         // The home rolls back a transaction whose link is lost before the commit.
@@ -76,7 +78,7 @@
 /// Closes a session's stream at the home that holds its transaction, which is rolled back.
 pub fn close_stream(node: &Rc<Node>, stream: u64, home: &Name) {
     if *home != node.name {
-        node.peers.tell(node, home, &PeerMsg::Close { stream });
+        node.peers.send(node, home, &PeerMsg::Close { stream });
         return;
     }
     let id = (node.name.clone(), stream);
@@ -88,7 +90,7 @@
 /// Cancels the running batch of a session at a home.
 pub fn cancel_stream(node: &Rc<Node>, stream: u64, home: &Name) {
     if *home != node.name {
-        node.peers.tell(node, home, &PeerMsg::Cancel { stream });
+        node.peers.send(node, home, &PeerMsg::Cancel { stream });
         return;
     }
     let id = (node.name.clone(), stream);
@@ -101,19 +103,19 @@
 fn candidates(node: &Rc<Node>, group: &Name) -> Vec<Name> {
     let Some(spec) = node.group(group) else { return Vec::new() };
     let now = node.now();
-    let mut homes = node.homes_of(&spec).near.clone();
-    homes.sort_by_key(|home| node.peers.is_shunned(now, home));
+    let mut homes = node.placement(&spec).by_proximity.clone();
+    homes.sort_by_key(|home| node.peers.recently_failed(now, home));
     homes
 }
 
 /// Runs a request at a home, locally or over the link to its instance.
-async fn dispatch(node: &Rc<Node>, home: &Name, req: Request) -> Result<Reply, Lost> {
+async fn dispatch(node: &Rc<Node>, home: &Name, req: Request) -> Result<Reply, LinkError> {
     if *home != node.name {
-        return node.peers.request(node, home, req).await;
+        return node.peers.forward(node, home, req).await;
     }
     match node.home(&req.group) {
         Some(local) => Ok(Box::pin(exec::execute(node, &local, &node.name, req)).await),
-        None => Err(Lost { sent: false }),
+        None => Err(LinkError { maybe_sent: false }),
     }
 }
 
--- a/crates/pondtrackd/src/gossip.rs
+++ b/crates/pondtrackd/src/gossip.rs
@@ -65,7 +65,7 @@
     for change in out.changes {
         let before = change.before.map_or("unknown".to_owned(), |state| state.to_string());
         if change.before.is_some() || change.after != MemberState::Alive {
-            node.decide(
+            node.record_decision(
                 &change.name,
                 format!("the instance is {}", change.after),
                 format!("it was {before}"),
@@ -110,7 +110,7 @@
         },
         FactKind::Leave if fact.key.name == node.name => {
             let order = serde_json::from_slice::<LeaveOrder>(&fact.value);
-            if order.is_ok_and(|order| order.incarnation >= node.born) {
+            if order.is_ok_and(|order| order.incarnation >= node.incarnation) {
                 crate::run::leave(node, "an operator's plan");
             }
         }
@@ -130,17 +130,17 @@
 
 /// Starts, reconfigures and closes the homes of this instance to match the members and groups.
 pub fn reconcile(node: &Rc<Node>) {
-    node.replace_all();
+    node.invalidate_placements();
     let groups = node.groups.borrow().clone();
     for (spec, version) in groups {
-        let homes = node.homes_of(&spec).homes.clone();
+        let homes = node.placement(&spec).homes.clone();
         let rank = homes.iter().position(|home| *home == node.name);
         let local = node.home(&spec.name);
         match (rank, local) {
             (Some(rank), Some(home)) => home.configure(node, spec, version, rank, homes.len()),
             (Some(rank), None) => start_home(node, spec, version, rank, homes),
             (None, Some(home)) if !home.closing.get() => {
-                node.decide(&spec.name, "this instance is no longer a home", evidence(&homes));
+                node.record_decision(&spec.name, "this instance is no longer a home", evidence(&homes));
                 home.close(node);
             }
             (None, _) => {}
@@ -157,7 +157,7 @@
     let i = local.partition_point(|old| old.group < home.group);
     local.insert(i, home.clone());
     drop(local);
-    node.decide(&spec.name, format!("this instance is home number {}", rank + 1), evidence(&homes));
+    node.record_decision(&spec.name, format!("this instance is home number {}", rank + 1), evidence(&homes));
     for server in 0..home.servers.len() {
         tokio::task::spawn_local(home::monitor::run(node.clone(), home.clone(), server));
     }
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -3,8 +3,8 @@
 use {
     super::{Home, ORDER_TIMEOUT},
     crate::{
-        keeper::{self, Need},
         node::Node,
+        platform_sync::{self, RefillUrgency},
         telemetry::Count,
     },
     pondtrack_core::{
@@ -81,7 +81,7 @@
         if term != last_term {
             // Terms that were reserved in advance may be below it, and are then useless.
             last_term = term;
-            keeper::replenish(&node, &home, Need::Ahead);
+            platform_sync::replenish(&node, &home, RefillUrgency::Background);
         }
         if now < cooldown_until
             || home.in_failover.get()
@@ -93,9 +93,9 @@
         if home.term_pool.borrow().remaining() == 0 {
             // A failover begins with a reserved term. Its time limit would end the calls that reserve one, and would do
             // so forever if these calls are slower than the limit.
-            keeper::replenish(&node, &home, Need::Now);
+            platform_sync::replenish(&node, &home, RefillUrgency::Immediate);
             if !std::mem::replace(&mut lacks_term, true) {
-                node.decide(
+                node.record_decision(
                     &home.group,
                     "a change of primary waits for a term",
                     evidence(&node, &home, cause),
@@ -110,16 +110,16 @@
         if home.detector.borrow().is_vetoed(cause, term, &opinions) {
             node.count(Count::Vetoes);
             let evidence = format!("{cause}; others: {opinions:?}");
-            node.decide(&home.group, "the primary is kept: another home hears it", evidence);
+            node.record_decision(&home.group, "the primary is kept: another home hears it", evidence);
             cooldown_until = node.now() + veto_backoff;
             veto_backoff = (veto_backoff * 2).min(VETO_BACKOFF.1);
             continue;
         }
         let evidence = evidence(&node, &home, cause);
-        node.decide(&home.group, format!("the primary is given up: {cause}"), evidence);
+        node.record_decision(&home.group, format!("the primary is given up: {cause}"), evidence);
         let preference = candidate_preference(cause, primary);
         if let Err(why) = fail_over(&node, &home, preference).await {
-            node.decide(&home.group, "the change of primary failed", why);
+            node.record_decision(&home.group, "the change of primary failed", why);
         }
         cooldown_until = node.now() + COOLDOWN_MS;
     }
@@ -252,14 +252,14 @@
 /// Asks the other homes for the primaries that they reach.
 async fn query_opinions(node: &Rc<Node>, home: &Rc<Home>) -> Vec<Opinion> {
     let spec = home.spec.borrow().clone();
-    let homes = node.homes_of(&spec).homes.clone();
+    let homes = node.placement(&spec).homes.clone();
     let mut queries = Vec::new();
     for peer in homes.into_iter().filter(|h| *h != node.name) {
         let group = home.group.clone();
         let node = node.clone();
         queries.push(async move {
             let make = |id| PeerMsg::ProbePrimary { id, group };
-            match node.peers.ask(&node, &peer, make, OPINION_TIMEOUT).await {
+            match node.peers.request(&node, &peer, make, OPINION_TIMEOUT).await {
                 Some(PeerMsg::ProbePrimaryReply { term, stalled, .. }) => {
                     Some(Opinion { from: peer, term, stalled })
                 }
@@ -290,7 +290,7 @@
     home.changed.notify_waiters();
     if let Ok((term, primary)) = &result {
         node.count(Count::Promotions);
-        keeper::record_term(node, home, *term, primary);
+        platform_sync::record_term(node, home, *term, primary);
     }
     result
 }
@@ -370,7 +370,7 @@
         .map(|(n, last): &(usize, LogPosition)| format!("{} at {last}", home.servers[*n].spec.borrow().name))
         .collect();
     let what = format!("{name} is the primary of term {}", promotion.term);
-    node.decide(&home.group, what, format!("fenced: {}", logs.join(", ")));
+    node.record_decision(&home.group, what, format!("fenced: {}", logs.join(", ")));
     (promotion.term, name)
 }
 
@@ -380,7 +380,7 @@
     if let Some(term) = home.term_pool.borrow_mut().take(known) {
         return Ok(term);
     }
-    keeper::refill(node, home).await.map_err(|e| e.to_string())?;
+    platform_sync::allocate_terms(node, home).await.map_err(|e| e.to_string())?;
     home.term_pool.borrow_mut().take(known).ok_or_else(|| "no term was granted".to_owned())
 }
 
@@ -445,7 +445,7 @@
         return;
     }
     let what = format!("{name} follows the primary of term {term}");
-    node.decide(&home.group, what, format!("it was {} of term {}", before.role, before.term));
+    node.record_decision(&home.group, what, format!("it was {} of term {}", before.role, before.term));
     report_dropped(node, home, n, before, term).await;
 }
 
@@ -459,7 +459,7 @@
             let name = home.servers[n].spec.borrow().name.clone();
             let what = format!("{name} dropped {} entries on rejoining", after.dropped - before.dropped);
             let evidence = format!("its log ended at {}; none of them was acknowledged", before.received);
-            return node.decide(&home.group, what, evidence);
+            return node.record_decision(&home.group, what, evidence);
         }
         if after.received.term >= term {
             // The server has rejoined and had nothing to drop.
