--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -168,7 +168,7 @@
 
     /// Waits for changes to objects of a kind after the version `since`.
     ///
-    /// Returns an empty list if nothing changed within [`WATCH_SECONDS`].
+    /// Returns an empty list if nothing changed within `WATCH_SECONDS`.
     pub async fn watch(&self, kind: &str, since: u64) -> Result<Listing, PlatformError> {
         let url = format!("{}/watch/{kind}?since={since}&seconds={WATCH_SECONDS}", self.base);
         let limit = Duration::from_secs(WATCH_SECONDS) + WATCH_GRACE;
