--- a/crates/pondtrackd/src/control.rs
+++ b/crates/pondtrackd/src/control.rs
@@ -1,4 +1,4 @@
-//! The operator's interface.
+//! JSON-RPC server for operators.
 
 use {
     crate::{node::Node, planner},
@@ -16,24 +16,24 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Time for the answers of other instances.
-const ASK_LIMIT: Duration = Duration::from_millis(600);
-/// Most instances asked for one question.
-const ASKED: usize = 64;
+/// Timeout of a query to other instances.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(600);
+/// Maximum number of other instances queried for one request.
+const MAX_FANOUT: usize = 64;
 
-/// Why an operator's request fails.
+/// The error of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorError {
-    /// It makes no sense as it stands.
+    /// The request is invalid in the current state.
     Refused(String),
-    /// Something changed meanwhile.
+    /// A concurrent change conflicts with the request.
     Conflict(String),
-    /// The platform is needed and doesn't answer.
+    /// The platform is required but unavailable.
     Unavailable(String),
 }
 
-/// What an operator asks.
-enum Call {
+/// A request of an operator, with the channel for the response.
+enum Command {
     Status(oneshot::Sender<Vec<InstanceStatus>>),
     Report(oneshot::Sender<InstanceStatus>),
     Propose(Name, Intent, oneshot::Sender<Result<Plan, OperatorError>>),
@@ -43,107 +43,111 @@
     Explain(Option<Name>, oneshot::Sender<Vec<Decision>>),
 }
 
-/// The server's methods may be called from anywhere; they hand their calls to the instance's loop.
-struct Front(mpsc::Sender<Call>);
+/// RPC handler. Its methods are called from any thread and send their commands to the instance's own thread.
+struct RpcHandler(mpsc::Sender<Command>);
 
-/// Serves operators; hands back the address.
+/// Starts the server for operators and returns its local address.
+///
+/// # Errors
+///
+/// Returns an error if the server can't listen on the address.
 pub async fn serve(node: Rc<Node>, listen: SocketAddr) -> std::io::Result<SocketAddr> {
     let server = Server::builder().build(listen).await.map_err(std::io::Error::other)?;
     let addr = server.local_addr()?;
-    let (send, receive) = mpsc::channel(64);
-    let handle = server.start(Front(send).into_rpc());
+    let (sender, receiver) = mpsc::channel(64);
+    let handle = server.start(RpcHandler(sender).into_rpc());
     tokio::task::spawn_local(async move {
-        work(node, receive).await;
+        handle_commands(node, receiver).await;
         drop(handle);
     });
     Ok(addr)
 }
 
-async fn work(node: Rc<Node>, mut calls: mpsc::Receiver<Call>) {
-    while let Some(call) = calls.recv().await {
+async fn handle_commands(node: Rc<Node>, mut commands: mpsc::Receiver<Command>) {
+    while let Some(command) = commands.recv().await {
         let node = node.clone();
         tokio::task::spawn_local(async move {
-            match call {
-                Call::Status(send) => drop(send.send(status(&node).await)),
-                Call::Report(send) => drop(send.send(report(&node))),
-                Call::Propose(who, intent, send) => {
-                    drop(send.send(planner::propose(&node, who, intent).await))
+            match command {
+                Command::Status(tx) => drop(tx.send(status(&node).await)),
+                Command::Report(tx) => drop(tx.send(report(&node))),
+                Command::Propose(operator, intent, tx) => {
+                    drop(tx.send(planner::propose(&node, operator, intent).await))
                 }
-                Call::Confirm(who, plan, send) => drop(send.send(planner::confirm(&node, &who, &plan).await)),
-                Call::Abort(who, plan, send) => drop(send.send(planner::abort(&node, &who, &plan).await)),
-                Call::Plans(plan, send) => drop(send.send(planner::list(&node, plan.as_ref()).await)),
-                Call::Explain(subject, send) => drop(send.send(explain(&node, subject).await)),
+                Command::Confirm(op, plan, tx) => drop(tx.send(planner::confirm(&node, &op, &plan).await)),
+                Command::Abort(op, plan, tx) => drop(tx.send(planner::abort(&node, &op, &plan).await)),
+                Command::Plans(plan, tx) => drop(tx.send(planner::list(&node, plan.as_ref()).await)),
+                Command::Explain(subject, tx) => drop(tx.send(explain(&node, subject).await)),
             }
         });
     }
 }
 
-impl Front {
-    async fn ask<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> Call) -> RpcResult<T> {
-        let (send, receive) = oneshot::channel();
-        let gone = || error(code::UNAVAILABLE, "the instance is ending");
-        self.0.send(make(send)).await.map_err(|_| gone())?;
-        receive.await.map_err(|_| gone())
+impl RpcHandler {
+    async fn call<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> Command) -> RpcResult<T> {
+        let (tx, rx) = oneshot::channel();
+        let closed = || rpc_error(code::UNAVAILABLE, "the instance is ending");
+        self.0.send(make(tx)).await.map_err(|_| closed())?;
+        rx.await.map_err(|_| closed())
     }
 
-    async fn try_ask<T>(
+    async fn try_call<T>(
         &self,
-        make: impl FnOnce(oneshot::Sender<Result<T, OperatorError>>) -> Call,
+        make: impl FnOnce(oneshot::Sender<Result<T, OperatorError>>) -> Command,
     ) -> RpcResult<T> {
-        self.ask(make).await?.map_err(|e| match e {
-            OperatorError::Refused(text) => error(code::REFUSED, &text),
-            OperatorError::Conflict(text) => error(code::RACED, &text),
-            OperatorError::Unavailable(text) => error(code::UNAVAILABLE, &text),
+        self.call(make).await?.map_err(|e| match e {
+            OperatorError::Refused(text) => rpc_error(code::REFUSED, &text),
+            OperatorError::Conflict(text) => rpc_error(code::RACED, &text),
+            OperatorError::Unavailable(text) => rpc_error(code::UNAVAILABLE, &text),
         })
     }
 }
 
-fn error(code: i32, text: &str) -> ErrorObjectOwned {
+fn rpc_error(code: i32, text: &str) -> ErrorObjectOwned {
     ErrorObjectOwned::owned(code, text, None::<()>)
 }
 
 #[async_trait]
-impl OperatorServer for Front {
+impl OperatorServer for RpcHandler {
     async fn status(&self) -> RpcResult<Vec<InstanceStatus>> {
-        self.ask(Call::Status).await
+        self.call(Command::Status).await
     }
 
     async fn report(&self) -> RpcResult<InstanceStatus> {
-        self.ask(Call::Report).await
+        self.call(Command::Report).await
     }
 
     async fn propose(&self, operator: Name, intent: Intent) -> RpcResult<Plan> {
-        self.try_ask(|send| Call::Propose(operator, intent, send)).await
+        self.try_call(|tx| Command::Propose(operator, intent, tx)).await
     }
 
     async fn confirm(&self, operator: Name, plan: Name) -> RpcResult<Plan> {
-        self.try_ask(|send| Call::Confirm(operator, plan, send)).await
+        self.try_call(|tx| Command::Confirm(operator, plan, tx)).await
     }
 
     async fn abort(&self, operator: Name, plan: Name) -> RpcResult<Plan> {
-        self.try_ask(|send| Call::Abort(operator, plan, send)).await
+        self.try_call(|tx| Command::Abort(operator, plan, tx)).await
     }
 
     async fn plans(&self, plan: Option<Name>) -> RpcResult<Vec<Plan>> {
-        self.try_ask(|send| Call::Plans(plan, send)).await
+        self.try_call(|tx| Command::Plans(plan, tx)).await
     }
 
     async fn explain(&self, subject: Option<Name>) -> RpcResult<Vec<Decision>> {
-        self.ask(|send| Call::Explain(subject, send)).await
+        self.call(|tx| Command::Explain(subject, tx)).await
     }
 }
 
-/// This instance's own report.
+/// Returns the status of this instance.
 pub fn report(node: &Rc<Node>) -> InstanceStatus {
     let members = node.members.borrow();
-    let own = std::iter::once(&members.local).chain(members.others());
-    let member = |it: &pondtrack_proto::MemberView| MemberStatus {
-        name: it.name.clone(),
-        zone: it.zone.clone(),
-        state: it.state,
-        incarnation: it.incarnation,
+    let all = std::iter::once(&members.local).chain(members.others());
+    let member = |m: &pondtrack_proto::MemberView| MemberStatus {
+        name: m.name.clone(),
+        zone: m.zone.clone(),
+        state: m.state,
+        incarnation: m.incarnation,
     };
-    let mut list: Vec<MemberStatus> = own.map(member).collect();
+    let mut list: Vec<MemberStatus> = all.map(member).collect();
     list.sort_by(|a, b| a.name.cmp(&b.name));
     drop(members);
     InstanceStatus {
@@ -152,17 +156,18 @@
         leaving: node.leaving.get(),
         sessions: node.sessions.len() as u32,
         members: list,
-        groups: groups(node),
+        groups: group_statuses(node),
         counters: node.counters.all(),
     }
 }
 
-fn groups(node: &Rc<Node>) -> Vec<GroupStatus> {
-    let all = node.groups.borrow().clone();
-    let one = |(spec, version): &(Rc<pondtrack_proto::GroupSpec>, u64)| {
+/// Returns the status of each configured group; a group without a home on this instance has no server entries.
+fn group_statuses(node: &Rc<Node>) -> Vec<GroupStatus> {
+    let groups = node.groups.borrow().clone();
+    let status = |(spec, version): &(Rc<pondtrack_proto::GroupSpec>, u64)| {
         let homes = node.placement(spec).homes.clone();
         match node.home(&spec.name) {
-            Some(it) => it.status(node, homes),
+            Some(home) => home.status(node, homes),
             None => GroupStatus {
                 name: spec.name.clone(),
                 version: *version,
@@ -173,44 +178,46 @@
             },
         }
     };
-    all.iter().map(one).collect()
+    groups.iter().map(status).collect()
 }
 
-/// The other instances that may be asked.
-fn others(node: &Node) -> Vec<Name> {
+/// Returns the other instances to query: members not considered dead, at most [`MAX_FANOUT`].
+fn query_targets(node: &Node) -> Vec<Name> {
     let members = node.members.borrow();
-    let open = members.others().iter().filter(|it| it.state != MemberState::Dead);
-    open.take(ASKED).map(|it| it.name.clone()).collect()
+    let live = members.others().iter().filter(|m| m.state != MemberState::Dead);
+    live.take(MAX_FANOUT).map(|m| m.name.clone()).collect()
 }
 
-async fn ask_all<T: serde::de::DeserializeOwned>(node: &Rc<Node>, question: OperatorQuery) -> Vec<T> {
-    let one = |name: Name| {
+/// Queries other instances concurrently and returns the responses that arrive in time.
+async fn query_all<T: serde::de::DeserializeOwned>(node: &Rc<Node>, question: OperatorQuery) -> Vec<T> {
+    let query = |name: Name| {
         let (node, question) = (node.clone(), question.clone());
         async move {
             let make = |id| PeerMsg::Query { id, question };
-            match node.peers.request(&node, &name, make, ASK_LIMIT).await {
+            match node.peers.request(&node, &name, make, QUERY_TIMEOUT).await {
                 Some(PeerMsg::QueryReply { json, .. }) => serde_json::from_str(&json).ok(),
                 _ => None,
             }
         }
     };
-    let asks = others(node).into_iter().map(one);
-    futures::future::join_all(asks).await.into_iter().flatten().collect()
+    let queries = query_targets(node).into_iter().map(query);
+    futures::future::join_all(queries).await.into_iter().flatten().collect()
 }
 
-/// The reports of this instance and of those that answer in time.
+/// Returns the status of this instance and of the instances that respond in time, sorted by name.
 pub async fn status(node: &Rc<Node>) -> Vec<InstanceStatus> {
-    let mut out = vec![report(node)];
-    out.extend(ask_all::<InstanceStatus>(node, OperatorQuery::Status).await);
-    out.sort_by(|a, b| a.name.cmp(&b.name));
-    out
+    let mut statuses = vec![report(node)];
+    statuses.extend(query_all::<InstanceStatus>(node, OperatorQuery::Status).await);
+    statuses.sort_by(|a, b| a.name.cmp(&b.name));
+    statuses
 }
 
+/// Returns the decisions about a subject, or all if `None`, from all instances that respond in time, sorted by time.
 async fn explain(node: &Rc<Node>, subject: Option<Name>) -> Vec<Decision> {
-    let mut out = node.journal.borrow().by_subject(subject.as_ref());
-    out.extend(
-        ask_all::<Vec<Decision>>(node, OperatorQuery::Explain { subject }).await.into_iter().flatten(),
+    let mut decisions = node.journal.borrow().by_subject(subject.as_ref());
+    decisions.extend(
+        query_all::<Vec<Decision>>(node, OperatorQuery::Explain { subject }).await.into_iter().flatten(),
     );
-    out.sort_by_key(|it| it.at_ms);
-    out
+    decisions.sort_by_key(|d| d.at_ms);
+    decisions
 }
--- a/crates/pondtrackd/src/node.rs
+++ b/crates/pondtrackd/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of an instance share.
+//! The state shared by all modules of an instance.
 
 use {
     crate::{
@@ -27,59 +27,63 @@
     tokio::{net::UdpSocket, sync::Notify},
 };
 
-/// The state of an instance. All parts run on one thread; no borrow is held across an await.
+/// Shared state of an instance. All tasks run on one thread; no borrow is held across an await.
 pub struct Node {
-    /// The settings.
+    /// Settings of the instance.
     pub settings: Settings,
-    /// The instance's name.
+    /// Name of the instance.
     pub name: Name,
-    /// The instance's availability zone.
+    /// Availability zone of the instance.
     pub zone: Name,
-    /// Membership and facts.
+    /// Cluster membership and gossiped facts.
     pub members: RefCell<Members>,
-    /// Groups with their versions, sorted by name.
+    /// Configured groups and their versions, sorted by name.
     pub groups: RefCell<Vec<(Rc<GroupSpec>, u64)>>,
-    /// Groups this instance is a home of, sorted by name; also some it is no longer.
+    /// Homes on this instance, sorted by name of the group. Includes homes that are closing.
     pub homes: RefCell<Vec<Rc<Home>>>,
-    /// Links to other instances.
+    /// Connections to other instances.
     pub peers: Peers,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Platform,
-    /// Callers' sessions.
+    /// Sessions of callers.
     pub sessions: Sessions,
-    /// Recorded decisions.
+    /// Log of recent decisions.
     pub journal: RefCell<DecisionLog>,
-    /// Classified texts.
+    /// Statement classifier and its cache.
     pub classifier: RefCell<Classifier>,
-    /// Counters.
+    /// Counters for metrics.
     pub counters: Counters,
-    /// Set while this instance leaves.
+    /// Set once this instance has started to leave the cluster.
     pub leaving: Cell<bool>,
-    /// Woken when this instance begins to leave.
+    /// Notified when this instance starts to leave the cluster.
     pub drain_started: Notify,
-    /// Woken when members or groups have changed.
+    /// Notified when members or groups have changed.
     pub changed: Notify,
-    /// Woken when this instance has ended its work.
+    /// Notified when this instance has shut down.
     pub stopped: Notify,
-    /// The socket for datagrams.
+    /// Socket for gossip datagrams.
     pub udp: UdpSocket,
-    /// Incarnation at the start; orders to leave for an earlier process are older.
+    /// Incarnation at startup. Orders to leave that were meant for an earlier process have a lower incarnation.
     pub incarnation: u64,
-    placed: RefCell<Vec<Rc<Placement>>>,
+    placements: RefCell<Vec<Rc<Placement>>>,
     start: Instant,
     rng: RefCell<Pcg64Mcg>,
-    next: Cell<u64>,
+    next_id: Cell<u64>,
 }
 
 impl Node {
-    /// Sets an instance up; nothing runs yet.
+    /// Creates the state of an instance without starting any task.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the client of the platform can't be created.
     pub fn new(settings: Settings, udp: UdpSocket) -> Result<Rc<Node>, PlatformError> {
         let platform = Platform::new(&settings.platform, settings.bind)?;
         let name = settings.shared_name();
         let zone = Name::from(settings.zone.as_str());
-        // Wall-clock time, so that a restart under the same name has a higher incarnation.
+        // Wall-clock time gives a restart under the same name a higher incarnation.
         let incarnation = epoch_ms();
-        let me = MemberView {
+        let local = MemberView {
             name: name.clone(),
             addr: settings.peer_addr(),
             zone: zone.clone(),
@@ -87,17 +91,17 @@
             state: MemberState::Alive,
         };
         let interval = settings.probe_ms;
-        let choice = settings.spread;
+        let peer_choice = settings.spread;
         let config = MemberConfig {
             probe_interval: interval,
             direct_timeout: (interval * 3 / 10).max(20),
             indirect_timeout: (interval / 2).max(30),
             suspicion_timeout: interval * 2,
-            peer_choice: choice,
+            peer_choice,
             ..MemberConfig::default()
         };
         let seed: u64 = rand::rng().random();
-        let members = Members::new(me, settings.seed.clone(), config, seed);
+        let members = Members::new(local, settings.seed.clone(), config, seed);
         Ok(Rc::new(Node {
             name,
             zone,
@@ -116,108 +120,110 @@
             stopped: Notify::new(),
             udp,
             incarnation,
-            placed: RefCell::default(),
+            placements: RefCell::default(),
             start: Instant::now(),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
-            next: Cell::new(1),
+            next_id: Cell::new(1),
             settings,
         }))
     }
 
-    /// Milliseconds of this instance's monotonic clock.
+    /// Returns the time of the instance's monotonic clock, in milliseconds.
     pub fn now(&self) -> Time {
         self.start.elapsed().as_millis() as Time
     }
 
-    /// A number that is unique on this instance.
+    /// Returns an id that is unique within this process.
     pub fn next_id(&self) -> u64 {
-        let it = self.next.get();
-        self.next.set(it + 1);
-        it
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        id
     }
 
-    /// A random number.
+    /// Returns a random number.
     pub fn random(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
 
-    /// Works with the instance's random numbers.
+    /// Calls `f` with the instance's random number generator.
     pub fn with_rng<T>(&self, f: impl FnOnce(&mut Pcg64Mcg) -> T) -> T {
         f(&mut self.rng.borrow_mut())
     }
 
-    /// Counts one.
-    pub fn count(&self, what: Count) {
-        self.counters.one(what);
+    /// Increments a counter by one.
+    pub fn count(&self, counter: Count) {
+        self.counters.one(counter);
     }
 
     /// Records a decision and logs it.
     pub fn record_decision(&self, subject: &Name, what: impl Into<String>, evidence: impl Into<String>) {
-        let it = Decision {
+        let decision = Decision {
             at_ms: epoch_ms(),
             instance: self.name.clone(),
             subject: subject.clone(),
             what: what.into(),
             evidence: evidence.into(),
         };
-        log::info!(subject = it.subject.as_str(), evidence = it.evidence.as_str(); "{}", it.what);
-        self.journal.borrow_mut().record(it);
+        log::info!(subject = decision.subject.as_str(), evidence = decision.evidence.as_str(); "{}", decision.what);
+        self.journal.borrow_mut().record(decision);
     }
 
-    /// A group's configuration.
+    /// Returns the configuration of a group.
     pub fn group(&self, name: &str) -> Option<Rc<GroupSpec>> {
         let groups = self.groups.borrow();
-        let at = groups.binary_search_by(|it| it.0.name.as_str().cmp(name)).ok()?;
-        Some(groups[at].0.clone())
+        let index = groups.binary_search_by(|g| g.0.name.as_str().cmp(name)).ok()?;
+        Some(groups[index].0.clone())
     }
 
-    /// The homes of a group, the first one first.
+    /// Returns the placement of a group. The result is cached until members or groups change.
     pub fn placement(&self, spec: &GroupSpec) -> Rc<Placement> {
-        let mut placed = self.placed.borrow_mut();
-        let at = placed.binary_search_by(|it| it.group.cmp(&spec.name));
-        if let Ok(at) = at {
-            return placed[at].clone();
+        let mut placements = self.placements.borrow_mut();
+        let found = placements.binary_search_by(|p| p.group.cmp(&spec.name));
+        if let Ok(index) = found {
+            return placements[index].clone();
         }
         let members = self.members.borrow().active();
         let homes = placement::homes(spec, &members);
         let by_proximity = placement::own_zone_first(&homes, &members, &self.zone);
-        let it = Rc::new(Placement { group: spec.name.clone(), homes, by_proximity });
-        let at = placed.partition_point(|old| old.group < it.group);
-        placed.insert(at, it.clone());
-        it
+        let placement = Rc::new(Placement { group: spec.name.clone(), homes, by_proximity });
+        let index = placements.partition_point(|old| old.group < placement.group);
+        placements.insert(index, placement.clone());
+        placement
     }
 
-    /// Members or groups have changed: placement is worked out anew when it is next asked for.
+    /// Clears the cached placements and notifies waiters, after a change of members or groups.
     pub fn invalidate_placements(&self) {
-        self.placed.borrow_mut().clear();
+        self.placements.borrow_mut().clear();
         self.changed.notify_waiters();
     }
 
-    /// This instance's home of a group, if it is one.
+    /// Returns the home of a group, or `None` if the group has no home on this instance.
     pub fn home(&self, group: &str) -> Option<Rc<Home>> {
         let homes = self.homes.borrow();
-        let at = homes.binary_search_by(|it| it.group.as_str().cmp(group)).ok()?;
-        Some(homes[at].clone())
+        let index = homes.binary_search_by(|h| h.group.as_str().cmp(group)).ok()?;
+        Some(homes[index].clone())
     }
 
-    /// The version of a fact known here.
+    /// Returns the version of the local copy of a fact.
     pub fn version(&self, kind: FactKind, name: &Name) -> u64 {
         self.members.borrow().facts.version(&FactKey { kind, name: name.clone() })
     }
 }
 
-/// The homes of a group.
+/// Homes of a group, as computed from the current members.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// The group.
+    /// Name of the group.
     pub group: Name,
-    /// The homes, the first one first.
+    /// Instances that are homes of the group, in order of precedence.
     pub homes: Vec<Name>,
-    /// The same in the order in which this instance tries them.
+    /// The homes in the order in which this instance tries them, with its own availability zone first.
     pub by_proximity: Vec<Name>,
 }
 
-/// Wall-clock time in milliseconds since the epoch; for people, keys and incarnations only.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
+///
+/// Only for display, request keys and incarnations; durations use [`Node::now`].
 pub fn epoch_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |it| it.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
--- a/crates/pondtrackd/src/peers.rs
+++ b/crates/pondtrackd/src/peers.rs
@@ -1,8 +1,9 @@
-//! Links between instances.
+//! Connections (links) between instances.
 //!
-//! Each instance opens one link to each other that it sends to; requests go out on it and replies come
-//! back, in any order, matched by their ids. A reply that nobody waits for is dropped and counted. While
-//! requests run the far side sends a beat now and then, so that a cut is told from a long statement.
+//! Each instance opens one link to each peer that it sends messages to. Requests are multiplexed on the link, and
+//! replies arrive in any order and are matched by request id. A reply without a pending request is dropped and
+//! counted. While requests run, the receiving peer sends heartbeats, so that a broken link can be distinguished from
+//! a long-running statement.
 
 use {
     crate::{entry, home::exec, node::Node, telemetry::Count},
@@ -27,73 +28,78 @@
     },
 };
 
-/// Time to open a link.
-const OPEN_LIMIT: Duration = Duration::from_millis(300);
-/// Messages waiting to be sent on a link.
-const QUEUE: usize = 8_192;
-/// Between two beats while requests run.
-const BEAT: Duration = Duration::from_millis(200);
-/// Silence of a link, while requests wait, after which it is given up, in milliseconds.
-const SILENCE: Time = 700;
-/// Time for a primary to answer when another home asks about it.
-const HEARD_LIMIT: Duration = Duration::from_millis(120);
-/// How long a peer whose link broke is tried last, in milliseconds.
-const SHUNNED: Time = 2_000;
+/// Timeout for opening a link.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Capacity of the send queue of a link, in messages.
+const SEND_QUEUE_LEN: usize = 8_192;
+/// Interval between two heartbeats while requests run.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// Idle time after which a link with pending requests is closed, in milliseconds.
+const IDLE_TIMEOUT: Time = 700;
+/// Timeout for the primary's response when another home probes the primary through this instance.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(120);
+/// Time that a peer is tried last after its link failed, in milliseconds.
+const FAILURE_PENALTY: Time = 2_000;
 
-/// Why a request got no reply.
+/// The error of a request that received no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkError {
-    /// Whether the peer may have got the request.
+    /// Set if the peer may have received the request.
     pub maybe_sent: bool,
 }
 
-type Answer = Result<PeerMsg, LinkError>;
+type Response = Result<PeerMsg, LinkError>;
 
-struct Waiting {
+struct PendingRequest {
     id: u64,
     link: u64,
-    send: oneshot::Sender<Answer>,
+    sender: oneshot::Sender<Response>,
 }
 
 #[derive(Clone)]
 struct Link {
     peer: Name,
     id: u64,
-    send: mpsc::Sender<Bytes>,
-    up: Rc<Cell<bool>>,
-    heard: Rc<Cell<Time>>,
+    sender: mpsc::Sender<Bytes>,
+    connected: Rc<Cell<bool>>,
+    last_contact: Rc<Cell<Time>>,
 }
 
-/// The links of an instance.
+/// Outgoing links of an instance and their pending requests.
 #[derive(Default)]
 pub struct Peers {
     links: RefCell<Vec<Link>>,
-    waiting: RefCell<Vec<Waiting>>,
-    shunned: RefCell<Vec<(Name, Time)>>,
+    pending: RefCell<Vec<PendingRequest>>,
+    failed: RefCell<Vec<(Name, Time)>>,
 }
 
 impl Peers {
-    /// Whether a peer's link broke a short while ago.
+    /// Returns true if the link to a peer failed a short time ago.
     pub fn recently_failed(&self, now: Time, peer: &Name) -> bool {
-        self.shunned.borrow().iter().any(|it| it.0 == *peer && it.1 > now)
+        self.failed.borrow().iter().any(|f| f.0 == *peer && f.1 > now)
     }
 
-    /// Sends a request and waits for its reply.
+    /// Forwards a statement to a peer and waits for the reply.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the link fails, or if no reply arrives before the request's deadline plus the idle timeout
+    /// of the link.
     pub async fn forward(&self, node: &Rc<Node>, peer: &Name, req: Request) -> Result<Reply, LinkError> {
         let id = req.id;
-        let left = Duration::from_millis(u64::from(req.left_ms) + u64::from(SILENCE as u32));
-        let receive = self.enqueue(node, peer, id, &PeerMsg::Request(req))?;
-        match timeout(left, receive).await {
-            Ok(Ok(Ok(PeerMsg::Reply(it)))) => Ok(it),
-            Ok(Ok(Err(lost))) => Err(lost),
+        let limit = Duration::from_millis(u64::from(req.left_ms) + u64::from(IDLE_TIMEOUT as u32));
+        let receiver = self.enqueue(node, peer, id, &PeerMsg::Request(req))?;
+        match timeout(limit, receiver).await {
+            Ok(Ok(Ok(PeerMsg::Reply(reply)))) => Ok(reply),
+            Ok(Ok(Err(e))) => Err(e),
             _ => {
-                self.forget(id);
+                self.discard(id);
                 Err(LinkError { maybe_sent: true })
             }
         }
     }
 
-    /// Asks a question, bounded in time.
+    /// Sends a request built by `make` from a new id. Returns the reply, or `None` on a link error or timeout.
     pub async fn request(
         &self,
         node: &Rc<Node>,
@@ -102,18 +108,18 @@
         limit: Duration,
     ) -> Option<PeerMsg> {
         let id = node.next_id();
-        let receive = self.enqueue(node, peer, id, &make(id)).ok()?;
-        let out = timeout(limit, receive).await;
-        if out.is_err() {
-            self.forget(id);
+        let receiver = self.enqueue(node, peer, id, &make(id)).ok()?;
+        let response = timeout(limit, receiver).await;
+        if response.is_err() {
+            self.discard(id);
         }
-        out.ok()?.ok()?.ok()
+        response.ok()?.ok()?.ok()
     }
 
-    /// Sends a message that needs no answer.
+    /// Sends a one-way message. The message is dropped if the link is unavailable or its queue is full.
     pub fn send(&self, node: &Rc<Node>, peer: &Name, msg: &PeerMsg) {
         if let Some(link) = self.link(node, peer) {
-            let _ = link.send.try_send(link::encode(msg));
+            let _ = link.sender.try_send(link::encode(msg));
         }
     }
 
@@ -123,86 +129,90 @@
         peer: &Name,
         id: u64,
         msg: &PeerMsg,
-    ) -> Result<oneshot::Receiver<Answer>, LinkError> {
+    ) -> Result<oneshot::Receiver<Response>, LinkError> {
         let link = self.link(node, peer).ok_or(LinkError { maybe_sent: false })?;
-        let (send, receive) = oneshot::channel();
-        if self.waiting.borrow().iter().all(|it| it.link != link.id) {
-            // Silence counts from here: nothing was owed before.
-            link.heard.set(node.now());
+        let (sender, receiver) = oneshot::channel();
+        if self.pending.borrow().iter().all(|p| p.link != link.id) {
+            // The idle timeout starts here, as no reply was due before.
+            link.last_contact.set(node.now());
         }
-        self.waiting.borrow_mut().push(Waiting { id, link: link.id, send });
-        if link.send.try_send(link::encode(msg)).is_err() {
-            self.forget(id);
+        self.pending.borrow_mut().push(PendingRequest { id, link: link.id, sender });
+        if link.sender.try_send(link::encode(msg)).is_err() {
+            self.discard(id);
             return Err(LinkError { maybe_sent: false });
         }
-        Ok(receive)
+        Ok(receiver)
     }
 
-    /// The link to a peer; it is opened when there is none.
+    /// Returns the link to a peer, opening a new one if necessary.
     fn link(&self, node: &Rc<Node>, peer: &Name) -> Option<Link> {
-        let at = self.links.borrow().binary_search_by(|it| it.peer.cmp(peer));
-        if let Ok(at) = at {
-            return Some(self.links.borrow()[at].clone());
+        let found = self.links.borrow().binary_search_by(|l| l.peer.cmp(peer));
+        if let Ok(index) = found {
+            return Some(self.links.borrow()[index].clone());
         }
         let addr = node.members.borrow().get(peer)?.addr;
-        let (send, receive) = mpsc::channel(QUEUE);
-        let heard = Rc::new(Cell::new(node.now()));
-        let it = Link { peer: peer.clone(), id: node.next_id(), send, up: Rc::default(), heard };
+        let (sender, queue) = mpsc::channel(SEND_QUEUE_LEN);
+        let last_contact = Rc::new(Cell::new(node.now()));
+        let link =
+            Link { peer: peer.clone(), id: node.next_id(), sender, connected: Rc::default(), last_contact };
         let mut links = self.links.borrow_mut();
-        let at = links.partition_point(|old| old.peer < it.peer);
-        links.insert(at, it.clone());
+        let index = links.partition_point(|old| old.peer < link.peer);
+        links.insert(index, link.clone());
         drop(links);
-        tokio::task::spawn_local(keep(node.clone(), it.clone(), addr, receive));
-        Some(it)
+        tokio::task::spawn_local(run_link(node.clone(), link.clone(), addr, queue));
+        Some(link)
     }
 
-    fn forget(&self, id: u64) {
-        self.waiting.borrow_mut().retain(|it| it.id != id);
+    /// Discards a pending request.
+    fn discard(&self, id: u64) {
+        self.pending.borrow_mut().retain(|p| p.id != id);
     }
 
-    fn take(&self, id: u64) -> Option<Waiting> {
-        let mut all = self.waiting.borrow_mut();
-        let at = all.iter().position(|it| it.id == id)?;
-        Some(all.swap_remove(at))
+    /// Removes and returns a pending request.
+    fn take(&self, id: u64) -> Option<PendingRequest> {
+        let mut pending = self.pending.borrow_mut();
+        let index = pending.iter().position(|p| p.id == id)?;
+        Some(pending.swap_remove(index))
     }
 
-    /// A link is gone: nothing more comes for what waits on it.
+    /// Removes a closed link and fails its pending requests.
     fn close(&self, node: &Node, link: &Link) {
-        self.links.borrow_mut().retain(|it| it.id != link.id);
-        let all = std::mem::take(&mut *self.waiting.borrow_mut());
-        let (lost, rest): (Vec<_>, Vec<_>) = all.into_iter().partition(|it| it.link == link.id);
-        // Requests that came meanwhile are kept, as they may be on other links.
-        self.waiting.borrow_mut().extend(rest);
-        let maybe_sent = link.up.get();
-        for it in lost {
-            let _ = it.send.send(Err(LinkError { maybe_sent }));
+        self.links.borrow_mut().retain(|l| l.id != link.id);
+        let pending = std::mem::take(&mut *self.pending.borrow_mut());
+        let (lost, rest): (Vec<_>, Vec<_>) = pending.into_iter().partition(|p| p.link == link.id);
+        // Requests that were added in the meantime are kept, as they may be on other links.
+        self.pending.borrow_mut().extend(rest);
+        let maybe_sent = link.connected.get();
+        for request in lost {
+            let _ = request.sender.send(Err(LinkError { maybe_sent }));
         }
-        let until = node.now() + SHUNNED;
-        let mut shunned = self.shunned.borrow_mut();
-        shunned.retain(|it| it.0 != link.peer);
-        shunned.push((link.peer.clone(), until));
-        drop(shunned);
+        let deadline = node.now() + FAILURE_PENALTY;
+        let mut failed = self.failed.borrow_mut();
+        failed.retain(|f| f.0 != link.peer);
+        failed.push((link.peer.clone(), deadline));
+        drop(failed);
         node.members.borrow_mut().probe_next(&link.peer);
     }
 
-    fn owes(&self, link: u64) -> bool {
-        self.waiting.borrow().iter().any(|it| it.link == link)
+    /// Returns true if requests are pending on a link.
+    fn has_pending(&self, link: u64) -> bool {
+        self.pending.borrow().iter().any(|p| p.link == link)
     }
 }
 
-/// Keeps an outgoing link for its life.
-async fn keep(node: Rc<Node>, link: Link, addr: SocketAddr, mut queue: mpsc::Receiver<Bytes>) {
-    match link::connect(node.settings.bind, addr, OPEN_LIMIT, &link.peer).await {
+/// Runs an outgoing link: connects, then sends and receives messages until the link fails.
+async fn run_link(node: Rc<Node>, link: Link, addr: SocketAddr, mut queue: mpsc::Receiver<Bytes>) {
+    match link::connect(node.settings.bind, addr, CONNECT_TIMEOUT, &link.peer).await {
         Ok(stream) => {
-            link.up.set(true);
-            link.heard.set(node.now());
+            link.connected.set(true);
+            link.last_contact.set(node.now());
             let (reader, mut writer) = link::halves(stream);
             let hello = link::encode(&PeerMsg::Hello { from: node.name.clone() });
             if writer.send(hello).await.is_ok() {
                 tokio::select! {
                     () = write_all(writer, &mut queue) => {}
                     () = read_replies(&node, &link, reader) => {}
-                    () = watch_silence(&node, &link) => {}
+                    () = wait_for_idle_timeout(&node, &link) => {}
                 }
             }
         }
@@ -212,12 +222,12 @@
 }
 
 async fn write_all(mut writer: LinkWriter, queue: &mut mpsc::Receiver<Bytes>) {
-    while let Some(it) = queue.recv().await {
-        if writer.feed(it).await.is_err() {
+    while let Some(bytes) = queue.recv().await {
+        if writer.feed(bytes).await.is_err() {
             return;
         }
-        while let Ok(it) = queue.try_recv() {
-            if writer.feed(it).await.is_err() {
+        while let Ok(bytes) = queue.try_recv() {
+            if writer.feed(bytes).await.is_err() {
                 return;
             }
         }
@@ -229,16 +239,16 @@
 
 async fn read_replies(node: &Rc<Node>, link: &Link, mut reader: LinkReader) {
     while let Some(Ok(bytes)) = reader.next().await {
-        link.heard.set(node.now());
+        link.last_contact.set(node.now());
         let msg = match link::decode(&bytes, &link.peer) {
-            Ok(it) => it,
+            Ok(msg) => msg,
             Err(e) => {
                 log::warn!(step = "decode", peer = link.peer.as_str(); "{e}");
                 return;
             }
         };
         let id = match &msg {
-            PeerMsg::Reply(it) => it.id,
+            PeerMsg::Reply(reply) => reply.id,
             PeerMsg::ProbePrimaryReply { id, .. }
             | PeerMsg::WritesPaused { id, .. }
             | PeerMsg::QueryReply { id, .. }
@@ -246,39 +256,39 @@
             _ => continue,
         };
         match node.peers.take(id) {
-            Some(it) => {
-                let _ = it.send.send(Ok(msg));
+            Some(request) => {
+                let _ = request.sender.send(Ok(msg));
             }
             None => node.count(Count::Unmatched),
         }
     }
 }
 
-/// Ends when the peer is silent although it owes answers.
-async fn watch_silence(node: &Rc<Node>, link: &Link) {
-    let mut looked = node.now();
+/// Returns when a link with pending requests has exceeded the idle timeout.
+async fn wait_for_idle_timeout(node: &Rc<Node>, link: &Link) {
+    let mut last_check = node.now();
     loop {
         sleep(Duration::from_millis(100)).await;
         let now = node.now();
-        if now.saturating_sub(looked) > SILENCE / 2 {
-            // This instance was paused itself: what came meanwhile has yet to be read.
-            link.heard.set(now);
+        if now.saturating_sub(last_check) > IDLE_TIMEOUT / 2 {
+            // This process was paused, so messages that arrived in the meantime haven't been read yet.
+            link.last_contact.set(now);
         }
-        looked = now;
-        if node.peers.owes(link.id) && now.saturating_sub(link.heard.get()) > SILENCE {
-            log::warn!(step = "receive", peer = link.peer.as_str(); "the link is silent although answers are due");
+        last_check = now;
+        if node.peers.has_pending(link.id) && now.saturating_sub(link.last_contact.get()) > IDLE_TIMEOUT {
+            log::warn!(step = "receive", peer = link.peer.as_str(); "link closed: idle with pending requests");
             return;
         }
     }
 }
 
-/// Accepts links of other instances.
+/// Accepts links from other instances.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                tokio::task::spawn_local(accept(node.clone(), stream));
+                tokio::task::spawn_local(serve_link(node.clone(), stream));
             }
             Err(e) => {
                 log::warn!(step = "accept"; "{e}");
@@ -288,35 +298,37 @@
     }
 }
 
-async fn accept(node: Rc<Node>, stream: TcpStream) {
+/// Serves an incoming link until the link is closed.
+async fn serve_link(node: Rc<Node>, stream: TcpStream) {
     let (mut reader, writer) = link::halves(stream);
     let unknown = Name::from("unknown");
-    let first = timeout(OPEN_LIMIT * 10, reader.next()).await;
+    let first = timeout(CONNECT_TIMEOUT * 10, reader.next()).await;
     let Ok(Some(Ok(bytes))) = first else { return };
     let Ok(PeerMsg::Hello { from }) = link::decode(&bytes, &unknown) else {
-        log::warn!(step = "startup", peer = "unknown"; "a link that doesn't begin with a hello");
+        log::warn!(step = "startup", peer = "unknown"; "rejected a link: the first message is not a hello");
         return;
     };
-    // A stream belongs to its link: what a lost link left open is rolled back with it.
+    // Streams are scoped to their link, so that transactions left open by a closed link are rolled back.
     let origin = Name::from(format!("{from}/{}", node.next_id()));
-    let (send, mut queue) = mpsc::channel(QUEUE);
+    let (sender, mut queue) = mpsc::channel(SEND_QUEUE_LEN);
     let running = Rc::new(Cell::new(0u32));
     tokio::select! {
         () = write_all(writer, &mut queue) => {}
-        () = read_requests(&node, &from, &origin, reader, &send, &running) => {}
-        () = beat(&send, &running) => {}
+        () = read_requests(&node, &from, &origin, reader, &sender, &running) => {}
+        () = send_heartbeats(&sender, &running) => {}
     }
-    for it in node.homes.borrow().clone() {
-        it.close_origin(&origin);
+    for home in node.homes.borrow().clone() {
+        home.close_origin(&origin);
     }
 }
 
-async fn beat(send: &mpsc::Sender<Bytes>, running: &Rc<Cell<u32>>) {
-    let mut every = interval(BEAT);
+/// Sends heartbeats while requests run.
+async fn send_heartbeats(sender: &mpsc::Sender<Bytes>, running: &Rc<Cell<u32>>) {
+    let mut ticker = interval(HEARTBEAT_INTERVAL);
     loop {
-        every.tick().await;
+        ticker.tick().await;
         if running.get() > 0 {
-            let _ = send.try_send(link::encode(&PeerMsg::KeepAlive));
+            let _ = sender.try_send(link::encode(&PeerMsg::KeepAlive));
         }
     }
 }
@@ -326,12 +338,12 @@
     from: &Name,
     origin: &Name,
     mut reader: LinkReader,
-    send: &mpsc::Sender<Bytes>,
+    sender: &mpsc::Sender<Bytes>,
     running: &Rc<Cell<u32>>,
 ) {
     while let Some(Ok(bytes)) = reader.next().await {
         match link::decode(&bytes, from) {
-            Ok(msg) => handle(node, origin, msg, send, running),
+            Ok(msg) => handle(node, origin, msg, sender, running),
             Err(e) => {
                 log::warn!(step = "decode", peer = from.as_str(); "{e}");
                 return;
@@ -340,54 +352,62 @@
     }
 }
 
-fn handle(node: &Rc<Node>, origin: &Name, msg: PeerMsg, send: &mpsc::Sender<Bytes>, running: &Rc<Cell<u32>>) {
+/// Handles a message from another instance. Replies are queued on `sender`.
+fn handle(
+    node: &Rc<Node>,
+    origin: &Name,
+    msg: PeerMsg,
+    sender: &mpsc::Sender<Bytes>,
+    running: &Rc<Cell<u32>>,
+) {
     match msg {
         PeerMsg::Request(req) => {
             running.set(running.get() + 1);
-            let (node, origin, send, running) = (node.clone(), origin.clone(), send.clone(), running.clone());
+            let (node, origin, sender, running) =
+                (node.clone(), origin.clone(), sender.clone(), running.clone());
             tokio::task::spawn_local(async move {
                 let reply = serve_request(&node, &origin, req).await;
                 running.set(running.get() - 1);
-                let _ = send.send(link::encode(&PeerMsg::Reply(reply))).await;
+                let _ = sender.send(link::encode(&PeerMsg::Reply(reply))).await;
             });
         }
         PeerMsg::Close { stream } => {
             let id = (origin.clone(), stream);
-            for it in node.homes.borrow().iter() {
-                it.close_stream(&id);
+            for home in node.homes.borrow().iter() {
+                home.close_stream(&id);
             }
         }
         PeerMsg::Cancel { stream } => {
             let id = (origin.clone(), stream);
-            for it in node.homes.borrow().iter() {
-                it.cancel(&id);
+            for home in node.homes.borrow().iter() {
+                home.cancel(&id);
             }
         }
         PeerMsg::CancelFor { pid, secret } => entry::cancel_here(node, pid, secret),
         PeerMsg::ProbePrimary { id, group } => {
-            let (node, send) = (node.clone(), send.clone());
+            let (node, sender) = (node.clone(), sender.clone());
             tokio::task::spawn_local(async move {
-                let it = heard(&node, id, &group).await;
-                let _ = send.send(link::encode(&it)).await;
+                let reply = probe_primary(&node, id, &group).await;
+                let _ = sender.send(link::encode(&reply)).await;
             });
         }
         PeerMsg::PauseWrites { id, group, ms } => {
-            let (node, send) = (node.clone(), send.clone());
+            let (node, sender) = (node.clone(), sender.clone());
             tokio::task::spawn_local(async move {
                 let open = pause_writes(&node, &group, ms).await;
-                let _ = send.send(link::encode(&PeerMsg::WritesPaused { id, open })).await;
+                let _ = sender.send(link::encode(&PeerMsg::WritesPaused { id, open })).await;
             });
         }
         PeerMsg::ResumeWrites { group } => resume_writes(node, &group),
         PeerMsg::Query { id, question } => {
-            let json = tell(node, &question);
-            let _ = send.try_send(link::encode(&PeerMsg::QueryReply { id, json }));
+            let json = answer_query(node, &question);
+            let _ = sender.try_send(link::encode(&PeerMsg::QueryReply { id, json }));
         }
         PeerMsg::ReserveTerms { id, group, known } => {
-            // They are no longer this home's before they leave: a lost answer loses them, and no two have one.
-            let block =
-                node.home(&group).and_then(|it| it.grants.borrow_mut().split_off(known.max(it.term())));
-            let _ = send.try_send(link::encode(&PeerMsg::ReserveTermsReply { id, block }));
+            // The terms are removed from this home before the reply is sent. A lost reply wastes the terms, but no two
+            // homes can own the same term.
+            let block = node.home(&group).and_then(|h| h.grants.borrow_mut().split_off(known.max(h.term())));
+            let _ = sender.try_send(link::encode(&PeerMsg::ReserveTermsReply { id, block }));
         }
         PeerMsg::Hello { .. }
         | PeerMsg::Reply(_)
@@ -399,7 +419,7 @@
     }
 }
 
-/// Runs a request that another instance passed on.
+/// Executes a request that was forwarded by another instance.
 pub async fn serve_request(node: &Rc<Node>, origin: &Name, req: Request) -> Reply {
     match node.home(&req.group) {
         Some(home) => Box::pin(exec::execute(node, &home, origin, req)).await,
@@ -414,33 +434,37 @@
     }
 }
 
-/// Asks the primary anew, as what was heard a while ago says little.
-async fn heard(node: &Rc<Node>, id: u64, group: &Name) -> PeerMsg {
-    let silent = PeerMsg::ProbePrimaryReply { id, term: None, stalled: false };
-    let Some(home) = node.home(group) else { return silent };
-    let Some(primary) = home.primary() else { return silent };
-    let Ok(it) = home.order(node, primary, Order::Position, HEARD_LIMIT).await else { return silent };
+/// Probes the primary of a group on behalf of another home.
+///
+/// Queries the primary again instead of using the last status report, which may be stale.
+async fn probe_primary(node: &Rc<Node>, id: u64, group: &Name) -> PeerMsg {
+    let failed = PeerMsg::ProbePrimaryReply { id, term: None, stalled: false };
+    let Some(home) = node.home(group) else { return failed };
+    let Some(primary) = home.primary() else { return failed };
+    let Ok(status) = home.order(node, primary, Order::Position, PROBE_TIMEOUT).await else { return failed };
     let limit = node.settings.detect().stall_timeout / 2;
     let stalled = home.stalled.get().is_some_and(|at| node.now().saturating_sub(at) > limit);
-    PeerMsg::ProbePrimaryReply { id, term: (it.role == Role::Primary).then_some(it.term), stalled }
+    PeerMsg::ProbePrimaryReply { id, term: (status.role == Role::Primary).then_some(status.term), stalled }
 }
 
-/// Holds new work for a group's primary here; hands back how many transactions are still open.
+/// Pauses new work for the primary of a group on this instance, for `ms` milliseconds.
+///
+/// Waits at most a fifth of the pause for open transactions to finish, and returns the number that are still open.
 pub async fn pause_writes(node: &Rc<Node>, group: &Name, ms: u32) -> u32 {
     let Some(home) = node.home(group) else { return 0 };
-    let until = node.now() + Time::from(ms);
-    home.held.set(Some(until));
-    let quiet = async {
+    let deadline = node.now() + Time::from(ms);
+    home.held.set(Some(deadline));
+    let drained = async {
         while home.busy() > 0 {
             home.changed.notified().await;
         }
     };
-    // A part of the time is left for the switch itself.
-    let _ = timeout(Duration::from_millis(u64::from(ms) / 5), quiet).await;
+    // The rest of the pause is reserved for the switchover itself.
+    let _ = timeout(Duration::from_millis(u64::from(ms) / 5), drained).await;
     home.busy()
 }
 
-/// Ends a hold.
+/// Ends a write pause.
 pub fn resume_writes(node: &Rc<Node>, group: &Name) {
     if let Some(home) = node.home(group) {
         home.held.set(None);
@@ -448,8 +472,9 @@
     }
 }
 
-fn tell(node: &Rc<Node>, question: &OperatorQuery) -> String {
-    let json = match question {
+/// Returns the JSON reply to an operator's query, or an empty string if the serialisation fails.
+fn answer_query(node: &Rc<Node>, query: &OperatorQuery) -> String {
+    let json = match query {
         OperatorQuery::Status => serde_json::to_string(&crate::control::report(node)),
         OperatorQuery::Explain { subject } => {
             serde_json::to_string(&node.journal.borrow().by_subject(subject.as_ref()))
--- a/crates/pondtrackd/src/planner.rs
+++ b/crates/pondtrackd/src/planner.rs
@@ -1,7 +1,7 @@
-//! Plans: made, confirmed, worked on.
+//! Creation, confirmation and execution of plans.
 //!
-//! A plan is an object on the platform. The instance that works on it is the first home of its group;
-//! when that one dies, the next takes over, as every step can be done twice with the effect of once.
+//! A plan is an object on the platform. The first home of the plan's group executes the plan. If this instance
+//! fails, the next home takes over, which is safe because each step is idempotent.
 
 use {
     crate::{
@@ -23,108 +23,116 @@
     tokio::time::sleep,
 };
 
-/// How long work for a primary is held in one try of a planned switch, in milliseconds.
-const HOLD_MS: u32 = 400;
-/// Time for other homes to confirm a hold.
-const HOLD_LIMIT: Duration = Duration::from_millis(150);
-/// Tries of a planned switch; on the last, transactions still open are cut.
-const SWITCH_TRIES: usize = 12;
-/// Between two tries of a planned switch.
-const SWITCH_PAUSE: Duration = Duration::from_millis(250);
-/// Time for the next primary to catch up, once work is held.
-const CATCH_UP: Duration = Duration::from_millis(100);
-/// Positions by which the next primary may be behind when work is held.
-const NEAR: u64 = 50;
-/// Tries of a conditional update that others race.
-const PUT_TRIES: usize = 8;
+/// Duration of the write pause in one attempt of a planned switchover, in milliseconds.
+const PAUSE_MS: u32 = 400;
+/// Timeout for other homes to confirm a write pause.
+const PAUSE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum attempts of a planned switchover; the last attempt aborts transactions that are still open.
+const MAX_SWITCH_ATTEMPTS: usize = 12;
+/// Pause between two attempts of a planned switchover.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Timeout for the next primary to catch up during a write pause.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum lag of the next primary at the start of a write pause, in log positions.
+const MAX_LAG: u64 = 50;
+/// Maximum attempts of a conditional update that conflicts with concurrent updates.
+const MAX_PUT_ATTEMPTS: usize = 8;
 
-fn refusal(e: &PlatformError) -> OperatorError {
+fn operator_error(e: &PlatformError) -> OperatorError {
     match e {
         PlatformError::Unavailable { .. } => OperatorError::Unavailable(e.to_string()),
         _ => OperatorError::Conflict(e.to_string()),
     }
 }
 
-fn kind(it: FactKind) -> &'static str {
-    it.into()
+fn kind(fact: FactKind) -> &'static str {
+    fact.into()
 }
 
-/// Makes a plan; nothing changes yet.
+/// Creates a plan in the proposed state, without executing any step.
+///
+/// # Errors
+///
+/// Returns an error if the intent is invalid, or if the platform is unavailable.
 pub async fn propose(node: &Rc<Node>, operator: Name, intent: Intent) -> Result<Plan, OperatorError> {
-    let outlook = outlook(node, &intent).await?;
-    let word = match &intent {
+    let view = cluster_view(node, &intent).await?;
+    let verb = match &intent {
         Intent::Drain { .. } => "drain",
         Intent::Return { .. } => "return",
         Intent::Switch { .. } => "switch",
         Intent::Stop { .. } => "stop",
         Intent::Configure { .. } => "configure",
     };
-    let name = Name::from(format!("{word}-{:08x}", node.random() as u32));
-    let mut it =
-        plan::propose(name, operator, intent, &outlook).map_err(|e| OperatorError::Refused(e.to_string()))?;
-    let text = format!("proposed by {} at {}", it.operator, node.name);
-    note(&mut it, &text);
-    it.change = node.random();
-    put_new(node, &it).await?;
-    Ok(it)
+    let name = Name::from(format!("{verb}-{:08x}", node.random() as u32));
+    let mut plan =
+        plan::propose(name, operator, intent, &view).map_err(|e| OperatorError::Refused(e.to_string()))?;
+    let text = format!("proposed by {} at {}", plan.operator, node.name);
+    append_log(&mut plan, &text);
+    plan.change = node.random();
+    create_plan(node, &plan).await?;
+    Ok(plan)
 }
 
-async fn put_new(node: &Rc<Node>, it: &Plan) -> Result<(), OperatorError> {
-    match node.platform.put(kind(FactKind::Plan), &it.name, 0, it).await {
+async fn create_plan(node: &Rc<Node>, plan: &Plan) -> Result<(), OperatorError> {
+    match node.platform.put(kind(FactKind::Plan), &plan.name, 0, plan).await {
         Ok(_) => Ok(()),
-        Err(e @ PlatformError::Unavailable { .. }) => match read_plan(node, &it.name).await {
-            Ok((found, _)) if found.change == it.change => Ok(()),
-            _ => Err(refusal(&e)),
+        Err(e @ PlatformError::Unavailable { .. }) => match read_plan(node, &plan.name).await {
+            Ok((stored, _)) if stored.change == plan.change => Ok(()),
+            _ => Err(operator_error(&e)),
         },
-        Err(e) => Err(refusal(&e)),
+        Err(e) => Err(operator_error(&e)),
     }
 }
 
-/// What a plan is made from: the platform's own objects and the homes' views.
-async fn outlook(node: &Rc<Node>, intent: &Intent) -> Result<ClusterView, OperatorError> {
-    let listing = node.platform.list(kind(FactKind::Group)).await.map_err(|e| refusal(&e))?;
+/// Returns the state that a plan is based on: groups stored on the platform and primaries reported by homes.
+async fn cluster_view(node: &Rc<Node>, intent: &Intent) -> Result<ClusterView, OperatorError> {
+    let listing = node.platform.list(kind(FactKind::Group)).await.map_err(|e| operator_error(&e))?;
     let mut groups = Vec::new();
-    for it in &listing.objects {
-        if let Ok(spec) = it.read::<GroupSpec>() {
-            groups.push((spec, it.version));
+    for object in &listing.objects {
+        if let Ok(spec) = object.read::<GroupSpec>() {
+            groups.push((spec, object.version));
         }
     }
     groups.sort_by(|a, b| a.0.name.cmp(&b.0.name));
     let needs_primary = matches!(intent, Intent::Drain { .. } | Intent::Switch { .. });
     let reports = if needs_primary { control::status(node).await } else { Vec::new() };
-    let servers =
-        reports.iter().flat_map(|it| &it.groups).flat_map(|g| g.servers.iter().map(move |s| (g, s)));
-    let leads = servers.filter(|(_, s)| s.role == "primary");
-    let primaries = leads.map(|(g, s)| (g.name.clone(), s.name.clone(), s.term)).collect();
+    let servers = reports.iter().flat_map(|r| &r.groups).flat_map(|g| g.servers.iter().map(move |s| (g, s)));
+    let leaders = servers.filter(|(_, s)| s.role == "primary");
+    let primaries = leaders.map(|(g, s)| (g.name.clone(), s.name.clone(), s.term)).collect();
     let members = node.members.borrow().active();
     Ok(ClusterView { groups, primaries, members })
 }
 
 async fn read_plan(node: &Node, name: &Name) -> Result<(Plan, u64), OperatorError> {
-    let it: Object = match node.platform.get(kind(FactKind::Plan), name).await {
-        Ok(it) => it,
+    let object: Object = match node.platform.get(kind(FactKind::Plan), name).await {
+        Ok(object) => object,
         Err(PlatformError::Missing { .. }) => {
             return Err(OperatorError::Refused(format!(
                 "there is no plan {name:?}; pondtrack plans lists them"
             )));
         }
-        Err(e) => return Err(refusal(&e)),
+        Err(e) => return Err(operator_error(&e)),
     };
-    let plan = it.read().map_err(|e| refusal(&e))?;
-    Ok((plan, it.version))
+    let plan = object.read().map_err(|e| operator_error(&e))?;
+    Ok((plan, object.version))
 }
 
-/// Confirms a plan, if what it was made from still stands.
+/// Confirms a plan, which starts its execution. Returns a running plan unchanged.
+///
+/// # Errors
+///
+/// Returns [`OperatorError::Conflict`] if an object that the plan is based on has changed, and other errors if the
+/// plan is missing or can't be confirmed, or if the platform is unavailable.
 pub async fn confirm(node: &Rc<Node>, operator: &Name, name: &Name) -> Result<Plan, OperatorError> {
-    let (mut it, version) = read_plan(node, name).await?;
-    if it.state == PlanState::Running {
-        return Ok(it);
+    let (mut plan, version) = read_plan(node, name).await?;
+    if plan.state == PlanState::Running {
+        return Ok(plan);
     }
-    for (kind, object, seen) in &it.basis {
+    for (kind, object, seen) in &plan.basis {
         let now = match node.platform.get(kind, object).await {
-            Ok(found) => found.version,
+            Ok(stored) => stored.version,
             Err(PlatformError::Missing { .. }) => 0,
-            Err(e) => return Err(refusal(&e)),
+            Err(e) => return Err(operator_error(&e)),
         };
         if now != *seen {
             let text = format!(
@@ -134,65 +142,80 @@
             return Err(OperatorError::Conflict(text));
         }
     }
-    plan::advance(&mut it, PlanEvent::Confirm).map_err(|e| OperatorError::Refused(e.to_string()))?;
-    note(&mut it, &format!("confirmed by {operator} at {}", node.name));
-    put_plan(node, &mut it, version).await?;
-    Ok(it)
+    plan::advance(&mut plan, PlanEvent::Confirm).map_err(|e| OperatorError::Refused(e.to_string()))?;
+    append_log(&mut plan, &format!("confirmed by {operator} at {}", node.name));
+    put_plan(node, &mut plan, version).await?;
+    Ok(plan)
 }
 
-/// Ends a plan before its end; a step that is under way is finished.
+/// Aborts a plan; a step in progress still completes.
+///
+/// # Errors
+///
+/// Returns [`OperatorError::Conflict`] if concurrent updates of the plan exhaust the attempts, and other errors if the
+/// plan is missing or can't be aborted, or if the platform is unavailable.
 pub async fn abort(node: &Rc<Node>, operator: &Name, name: &Name) -> Result<Plan, OperatorError> {
-    for _ in 0..PUT_TRIES {
-        let (mut it, version) = read_plan(node, name).await?;
-        plan::advance(&mut it, PlanEvent::Abort).map_err(|e| OperatorError::Refused(e.to_string()))?;
-        note(&mut it, &format!("aborted by {operator} at {}", node.name));
-        match put_plan(node, &mut it, version).await {
+    for _ in 0..MAX_PUT_ATTEMPTS {
+        let (mut plan, version) = read_plan(node, name).await?;
+        plan::advance(&mut plan, PlanEvent::Abort).map_err(|e| OperatorError::Refused(e.to_string()))?;
+        append_log(&mut plan, &format!("aborted by {operator} at {}", node.name));
+        match put_plan(node, &mut plan, version).await {
             Err(OperatorError::Conflict(_)) => {}
-            other => return other.map(|()| it),
+            other => return other.map(|()| plan),
         }
     }
     Err(OperatorError::Conflict(format!("plan {name} keeps changing")))
 }
 
-/// A plan as it stands, or all.
+/// Returns the current state of the named plan, or of all plans if `name` is `None`.
+///
+/// # Errors
+///
+/// Returns an error if the named plan is missing, or if the platform is unavailable.
 pub async fn list(node: &Rc<Node>, name: Option<&Name>) -> Result<Vec<Plan>, OperatorError> {
-    if let Some(it) = name {
-        return read_plan(node, it).await.map(|it| vec![it.0]);
+    if let Some(name) = name {
+        return read_plan(node, name).await.map(|found| vec![found.0]);
     }
-    let listing = node.platform.list(kind(FactKind::Plan)).await.map_err(|e| refusal(&e))?;
-    Ok(listing.objects.iter().filter_map(|it| it.read().ok()).collect())
+    let listing = node.platform.list(kind(FactKind::Plan)).await.map_err(|e| operator_error(&e))?;
+    Ok(listing.objects.iter().filter_map(|o| o.read().ok()).collect())
 }
 
-/// Writes a plan on condition of its version; a lost answer is recognised by the change's id.
-async fn put_plan(node: &Rc<Node>, it: &mut Plan, version: u64) -> Result<(), OperatorError> {
-    it.change = node.random();
-    match node.platform.put(kind(FactKind::Plan), &it.name, version, it).await {
+/// Writes a plan if its stored version is `version`.
+///
+/// If the response is lost, the change id in the stored plan shows that the write took effect.
+async fn put_plan(node: &Rc<Node>, plan: &mut Plan, version: u64) -> Result<(), OperatorError> {
+    plan.change = node.random();
+    match node.platform.put(kind(FactKind::Plan), &plan.name, version, plan).await {
         Ok(_) => Ok(()),
-        Err(PlatformError::Unavailable { .. }) if read_plan(node, &it.name).await?.0.change == it.change => {
+        Err(PlatformError::Unavailable { .. })
+            if read_plan(node, &plan.name).await?.0.change == plan.change =>
+        {
             Ok(())
         }
-        Err(e) => Err(refusal(&e)),
+        Err(e) => Err(operator_error(&e)),
     }
 }
 
-fn note(it: &mut Plan, text: &str) {
-    it.log.push(format!("{} {text}", epoch_ms()));
+fn append_log(plan: &mut Plan, text: &str) {
+    plan.log.push(format!("{} {text}", epoch_ms()));
 }
 
-/// Looks for plans that this instance has to work on, for the life of the instance.
+/// Polls for plans that are assigned to this instance and executes them, until the instance stops.
 pub async fn run(node: Rc<Node>) {
-    let mut working: BTreeSet<Name> = BTreeSet::new();
-    let (send, mut done) = tokio::sync::mpsc::unbounded_channel::<Name>();
+    let mut executing: BTreeSet<Name> = BTreeSet::new();
+    let (sender, mut finished) = tokio::sync::mpsc::unbounded_channel::<Name>();
     loop {
-        while let Ok(it) = done.try_recv() {
-            working.remove(&it);
+        while let Ok(name) = finished.try_recv() {
+            executing.remove(&name);
         }
-        for it in running_plans(&node) {
-            if worker(&node, &it).as_ref() == Some(&node.name) && working.insert(it.name.clone()) {
-                let (node, send) = (node.clone(), send.clone());
+        for plan in running_plans(&node) {
+            if assigned_instance(&node, &plan).as_ref() == Some(&node.name)
+                && executing.insert(plan.name.clone())
+            {
+                let (node, sender) = (node.clone(), sender.clone());
                 tokio::task::spawn_local(async move {
-                    work(&node, &it.name).await;
-                    let _ = send.send(it.name);
+                    execute(&node, &plan.name).await;
+                    let _ = sender.send(plan.name);
                 });
             }
         }
@@ -203,53 +226,53 @@
 fn running_plans(node: &Node) -> Vec<Plan> {
     let members = node.members.borrow();
     let plans = members.facts.of_kind(FactKind::Plan);
-    let read = plans.filter_map(|it| serde_json::from_slice::<Plan>(&it.value).ok());
-    read.filter(|it| it.state == PlanState::Running).collect()
+    let parsed = plans.filter_map(|fact| serde_json::from_slice::<Plan>(&fact.value).ok());
+    parsed.filter(|p| p.state == PlanState::Running).collect()
 }
 
-/// The instance that works on a plan.
-fn worker(node: &Node, it: &Plan) -> Option<Name> {
-    let group = match &it.intent {
+/// Returns the instance that executes a plan: the first home of the plan's group, or a member chosen by placement.
+fn assigned_instance(node: &Node, plan: &Plan) -> Option<Name> {
+    let group = match &plan.intent {
         Intent::Drain { group, .. } | Intent::Return { group, .. } | Intent::Switch { group, .. } => {
             Some(group)
         }
         Intent::Configure { spec } => Some(&spec.name),
         Intent::Stop { .. } => None,
     };
-    let home = group.and_then(|it| node.group(it)).and_then(|it| node.placement(&it).homes.first().cloned());
+    let home = group.and_then(|g| node.group(g)).and_then(|s| node.placement(&s).homes.first().cloned());
     let members = node.members.borrow().active();
-    // An instance does not work on its own stop: its end would end the work.
-    let own = |name: &Name| matches!(&it.intent, Intent::Stop { instance } if instance == name);
-    let rest = members.iter().filter(|m| !own(&m.name));
-    home.or_else(|| placement::pick_member(&it.name, rest).map(|it| it.name.clone()))
+    // An instance doesn't execute the plan that stops it, as the plan would end with the process.
+    let stopping = |name: &Name| matches!(&plan.intent, Intent::Stop { instance } if instance == name);
+    let rest = members.iter().filter(|m| !stopping(&m.name));
+    home.or_else(|| placement::pick_member(&plan.name, rest).map(|m| m.name.clone()))
 }
 
-/// Works on a plan until it ends, or another instance has to.
-async fn work(node: &Rc<Node>, name: &Name) {
+/// Executes a plan until the plan ends or is assigned to another instance.
+async fn execute(node: &Rc<Node>, name: &Name) {
     loop {
-        let Ok((mut it, version)) = read_plan(node, name).await else {
+        let Ok((mut plan, version)) = read_plan(node, name).await else {
             sleep(Duration::from_millis(300)).await;
             return;
         };
-        if it.state != PlanState::Running || worker(node, &it).as_ref() != Some(&node.name) {
+        if plan.state != PlanState::Running || assigned_instance(node, &plan).as_ref() != Some(&node.name) {
             return;
         }
-        let Some(at) = plan::next_step(&it) else {
-            finish(node, &mut it, version, PlanEvent::Finish, "done").await;
+        let Some(index) = plan::next_step(&plan) else {
+            record_progress(node, &mut plan, version, PlanEvent::Finish, "done").await;
             return;
         };
-        let step = it.steps[at].0.clone();
-        it.worker = node.name.clone();
-        match perform(node, &step, &it).await {
+        let step = plan.steps[index].0.clone();
+        plan.worker = node.name.clone();
+        match execute_step(node, &step, &plan).await {
             Ok(text) => {
-                it.steps[at].1 = StepState::Done;
-                let last = plan::next_step(&it).is_none();
+                plan.steps[index].1 = StepState::Done;
+                let last = plan::next_step(&plan).is_none();
                 let event = if last { PlanEvent::Finish } else { PlanEvent::Progress };
-                finish(node, &mut it, version, event, &text).await;
+                record_progress(node, &mut plan, version, event, &text).await;
             }
             Err(OperatorError::Refused(reason)) => {
-                it.steps[at].1 = StepState::Failed { reason: reason.clone() };
-                finish(node, &mut it, version, PlanEvent::Fail, &reason).await;
+                plan.steps[index].1 = StepState::Failed { reason: reason.clone() };
+                record_progress(node, &mut plan, version, PlanEvent::Fail, &reason).await;
                 return;
             }
             Err(_) => sleep(Duration::from_millis(300)).await,
@@ -257,166 +280,180 @@
     }
 }
 
-async fn finish(node: &Rc<Node>, it: &mut Plan, version: u64, event: PlanEvent, text: &str) {
-    if plan::advance(it, event).is_err() {
+/// Applies an event to a plan, then stores and logs the outcome of the step.
+async fn record_progress(node: &Rc<Node>, plan: &mut Plan, version: u64, event: PlanEvent, text: &str) {
+    if plan::advance(plan, event).is_err() {
         return;
     }
-    note(it, &format!("{}: {text}", node.name));
+    append_log(plan, &format!("{}: {text}", node.name));
     node.record_decision(
-        &it.name,
+        &plan.name,
         format!("plan step: {text}"),
-        format!("intent of {}: {:?}", it.operator, it.intent),
+        format!("intent of {}: {:?}", plan.operator, plan.intent),
     );
-    // After a race the plan is read anew; the step is recognised as done.
-    let _ = put_plan(node, it, version).await;
+    // After a conflict the plan is read again, and the idempotent step succeeds without another change.
+    let _ = put_plan(node, plan, version).await;
 }
 
-/// Does a step; it may have been done before.
-async fn perform(node: &Rc<Node>, step: &Step, plan: &Plan) -> Result<String, OperatorError> {
+/// Executes a step. A step that was executed before has no further effect.
+async fn execute_step(node: &Rc<Node>, step: &Step, plan: &Plan) -> Result<String, OperatorError> {
     match step {
-        Step::Switch { group, server } => switch(node, group, server).await,
-        Step::Mark { group, server, draining } => mark(node, group, server, *draining).await,
-        Step::Write { spec } => write(node, spec, plan).await,
-        Step::Leave { instance } => leave(node, instance).await,
+        Step::Switch { group, server } => switch_primary(node, group, server).await,
+        Step::Mark { group, server, draining } => set_draining(node, group, server, *draining).await,
+        Step::Write { spec } => write_spec(node, spec, plan).await,
+        Step::Leave { instance } => order_leave(node, instance).await,
     }
 }
 
-async fn mark(node: &Rc<Node>, group: &Name, server: &Name, draining: bool) -> Result<String, OperatorError> {
-    for _ in 0..PUT_TRIES {
-        let it = node.platform.get(kind(FactKind::Group), group).await.map_err(|e| refusal(&e))?;
-        let mut spec: GroupSpec = it.read().map_err(|e| refusal(&e))?;
+async fn set_draining(
+    node: &Rc<Node>,
+    group: &Name,
+    server: &Name,
+    draining: bool,
+) -> Result<String, OperatorError> {
+    for _ in 0..MAX_PUT_ATTEMPTS {
+        let object = node.platform.get(kind(FactKind::Group), group).await.map_err(|e| operator_error(&e))?;
+        let mut spec: GroupSpec = object.read().map_err(|e| operator_error(&e))?;
         spec.servers.sort_by(|a, b| a.name.cmp(&b.name));
-        let Some(at) = spec.server_index(server) else {
+        let Some(index) = spec.server_index(server) else {
             return Err(OperatorError::Refused(format!("{server} is no longer a server of {group}")));
         };
         let text = format!("{server} of {group} is {}", if draining { "draining" } else { "in use" });
-        if spec.servers[at].draining == draining {
+        if spec.servers[index].draining == draining {
             return Ok(text);
         }
-        spec.servers[at].draining = draining;
-        match node.platform.put(kind(FactKind::Group), group, it.version, &spec).await {
+        spec.servers[index].draining = draining;
+        match node.platform.put(kind(FactKind::Group), group, object.version, &spec).await {
             Ok(_) => return Ok(text),
-            // Raced, or the answer was lost: read again and see.
+            // The group is read again: a concurrent update won, or the write took effect and the response was lost.
             Err(PlatformError::Conflict { .. }) => {}
-            Err(e) => return Err(refusal(&e)),
+            Err(e) => return Err(operator_error(&e)),
         }
     }
     Err(OperatorError::Conflict(format!("group {group} keeps changing")))
 }
 
-async fn write(node: &Rc<Node>, spec: &GroupSpec, plan: &Plan) -> Result<String, OperatorError> {
+async fn write_spec(node: &Rc<Node>, spec: &GroupSpec, plan: &Plan) -> Result<String, OperatorError> {
     let text = format!("group {} is configured", spec.name);
-    let (now, version) = match node.platform.get(kind(FactKind::Group), &spec.name).await {
-        Ok(it) => (it.read::<GroupSpec>().ok(), it.version),
+    let (current, version) = match node.platform.get(kind(FactKind::Group), &spec.name).await {
+        Ok(object) => (object.read::<GroupSpec>().ok(), object.version),
         Err(PlatformError::Missing { .. }) => (None, 0),
-        Err(e) => return Err(refusal(&e)),
+        Err(e) => return Err(operator_error(&e)),
     };
-    if now.as_ref() == Some(spec) {
+    if current.as_ref() == Some(spec) {
         return Ok(text);
     }
-    let basis = plan.basis.first().map_or(0, |it| it.2);
+    let basis = plan.basis.first().map_or(0, |b| b.2);
     if version != basis {
         return Err(OperatorError::Refused(format!(
             "group {} was changed by somebody else meanwhile",
             spec.name
         )));
     }
-    node.platform.put(kind(FactKind::Group), &spec.name, basis, spec).await.map_err(|e| refusal(&e))?;
+    node.platform
+        .put(kind(FactKind::Group), &spec.name, basis, spec)
+        .await
+        .map_err(|e| operator_error(&e))?;
     Ok(text)
 }
 
-async fn leave(node: &Rc<Node>, instance: &Name) -> Result<String, OperatorError> {
-    let Some(incarnation) = node.members.borrow().get(instance).map(|it| it.incarnation) else {
+/// Writes an order to leave for the current incarnation of an instance.
+async fn order_leave(node: &Rc<Node>, instance: &Name) -> Result<String, OperatorError> {
+    let Some(incarnation) = node.members.borrow().get(instance).map(|m| m.incarnation) else {
         return Ok(format!("{instance} is gone"));
     };
     let kind = kind(FactKind::Leave);
     let version = match node.platform.get(kind, instance).await {
-        Ok(it) if it.read::<LeaveOrder>().is_ok_and(|old| old.incarnation >= incarnation) => {
+        Ok(object) if object.read::<LeaveOrder>().is_ok_and(|old| old.incarnation >= incarnation) => {
             return Ok(format!("{instance} is told to leave"));
         }
-        Ok(it) => it.version,
+        Ok(object) => object.version,
         Err(PlatformError::Missing { .. }) => 0,
-        Err(e) => return Err(refusal(&e)),
+        Err(e) => return Err(operator_error(&e)),
     };
     let order = LeaveOrder { incarnation };
-    node.platform.put(kind, instance, version, &order).await.map_err(|e| refusal(&e))?;
+    node.platform.put(kind, instance, version, &order).await.map_err(|e| operator_error(&e))?;
     Ok(format!("{instance} is told to leave"))
 }
 
-/// A planned switch: hold new work, let the next primary catch up, promote it.
-async fn switch(node: &Rc<Node>, group: &Name, server: &Name) -> Result<String, OperatorError> {
+/// Performs a planned switchover: pauses new writes, waits for the next primary to catch up and promotes the server.
+async fn switch_primary(node: &Rc<Node>, group: &Name, server: &Name) -> Result<String, OperatorError> {
     let Some(home) = node.home(group) else {
         return Err(OperatorError::Conflict("this instance is not a home yet".to_owned()));
     };
     let Some(target) = home.spec.borrow().server_index(server) else {
         return Err(OperatorError::Refused(format!("{server} is no server of {group}")));
     };
-    let mut last = String::new();
-    for attempt in 1..=SWITCH_TRIES {
+    let mut last_error = String::new();
+    for attempt in 1..=MAX_SWITCH_ATTEMPTS {
         let Some(from) = home.primary() else {
-            last = "the group has no primary at the moment".to_owned();
-            sleep(SWITCH_PAUSE).await;
+            last_error = "the group has no primary at the moment".to_owned();
+            sleep(RETRY_PAUSE).await;
             continue;
         };
         if from == target {
             return Ok(format!("{server} is the primary of {group}"));
         }
-        if !near(&home, from, target) {
-            last = format!("{server} is too far behind");
-            sleep(SWITCH_PAUSE).await;
+        if !is_caught_up(&home, from, target) {
+            last_error = format!("{server} is too far behind");
+            sleep(RETRY_PAUSE).await;
             continue;
         }
-        let force = attempt == SWITCH_TRIES;
-        match held_switch(node, &home, from, target, force).await {
+        let force = attempt == MAX_SWITCH_ATTEMPTS;
+        match try_switch(node, &home, from, target, force).await {
             Ok(text) => return Ok(text),
-            Err(why) => last = why,
+            Err(reason) => last_error = reason,
         }
-        sleep(SWITCH_PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
-    Err(OperatorError::Refused(format!("{server} did not become the primary: {last}")))
+    Err(OperatorError::Refused(format!("{server} did not become the primary: {last_error}")))
 }
 
-fn near(home: &crate::home::Home, from: usize, target: usize) -> bool {
-    let end = |n: usize| home.servers[n].view.borrow().position.map(|it| it.received.lsn.0);
-    match (end(from), end(target)) {
-        (Some(a), Some(b)) => a.saturating_sub(b) <= NEAR,
+/// Returns true if `target` lags behind `from` by at most [`MAX_LAG`] log positions.
+fn is_caught_up(home: &crate::home::Home, from: usize, target: usize) -> bool {
+    let received = |n: usize| home.servers[n].view.borrow().position.map(|p| p.received.lsn.0);
+    match (received(from), received(target)) {
+        (Some(a), Some(b)) => a.saturating_sub(b) <= MAX_LAG,
         _ => false,
     }
 }
 
-async fn held_switch(
+/// Attempts a switchover under a write pause on all homes of the group.
+///
+/// Fails if transactions are still open at the end of the wait, unless `force` is set.
+async fn try_switch(
     node: &Rc<Node>,
     home: &Rc<crate::home::Home>,
     from: usize,
     target: usize,
     force: bool,
 ) -> Result<String, String> {
-    let began = node.now();
+    let started = node.now();
     let others: Vec<Name> = {
         let spec = home.spec.borrow().clone();
         let homes = node.placement(&spec).homes.clone();
-        homes.into_iter().filter(|it| *it != node.name).collect()
+        homes.into_iter().filter(|h| *h != node.name).collect()
     };
-    let holds = others.iter().map(|it| {
-        let make = |id| PeerMsg::PauseWrites { id, group: home.group.clone(), ms: HOLD_MS };
-        node.peers.request(node, it, make, HOLD_LIMIT)
+    let pauses = others.iter().map(|peer| {
+        let make = |id| PeerMsg::PauseWrites { id, group: home.group.clone(), ms: PAUSE_MS };
+        node.peers.request(node, peer, make, PAUSE_TIMEOUT)
     });
-    let own = peers::pause_writes(node, &home.group, HOLD_MS);
-    let (answers, open) = tokio::join!(futures::future::join_all(holds), own);
-    let theirs: u32 = answers
+    let local = peers::pause_writes(node, &home.group, PAUSE_MS);
+    let (replies, open) = tokio::join!(futures::future::join_all(pauses), local);
+    let remote: u32 = replies
         .iter()
-        .map(|it| if let Some(PeerMsg::WritesPaused { open, .. }) = it { *open } else { 0 })
+        .map(|r| if let Some(PeerMsg::WritesPaused { open, .. }) = r { *open } else { 0 })
         .sum();
-    let out = match open + theirs {
+    let result = match open + remote {
         0 => promote(node, home, from, target).await,
         _ if force => promote(node, home, from, target).await,
         n => Err(format!("{n} transactions are still open")),
     };
     peers::resume_writes(node, &home.group);
-    for it in &others {
-        node.peers.send(node, it, &PeerMsg::ResumeWrites { group: home.group.clone() });
+    for peer in &others {
+        node.peers.send(node, peer, &PeerMsg::ResumeWrites { group: home.group.clone() });
     }
-    out.map(|text| format!("{text}; work was held for {} ms", node.now() - began))
+    result.map(|text| format!("{text}; work was held for {} ms", node.now() - started))
 }
 
 async fn promote(
@@ -425,12 +462,12 @@
     from: usize,
     target: usize,
 ) -> Result<String, String> {
-    let lead = home.order(node, from, Order::Position, ORDER_LIMIT).await.map_err(|e| e.to_string())?;
-    let mark = LogPosition { term: lead.term, lsn: lead.received.lsn };
-    let ms = CATCH_UP.as_millis() as u32;
-    let caught =
+    let primary = home.order(node, from, Order::Position, ORDER_LIMIT).await.map_err(|e| e.to_string())?;
+    let mark = LogPosition { term: primary.term, lsn: primary.received.lsn };
+    let ms = CATCH_UP_TIMEOUT.as_millis() as u32;
+    let replica =
         home.order(node, target, Order::Wait { mark, ms }, ORDER_LIMIT).await.map_err(|e| e.to_string())?;
-    if caught.applied < mark.lsn {
+    if replica.applied < mark.lsn {
         return Err("the next primary did not catch up in time".to_owned());
     }
     let wish = failover::Wish { prefer: Some(target), skip: None };
--- a/crates/pondtrackd/src/platform_sync.rs
+++ b/crates/pondtrackd/src/platform_sync.rs
@@ -1,7 +1,8 @@
-//! The platform: watches, grants, records.
+//! Synchronisation with the platform: watches on facts, allocation of terms, and records of elections.
 //!
-//! Nothing here is on the path of a request. While the platform is down everything goes on with what is
-//! known; calls are repeated with backoff and jitter, so that its return brings no herd.
+//! Nothing here is on the request path. While the platform is unavailable, the instance continues with the
+//! facts it has cached; failed calls are retried with backoff and jitter to prevent a thundering herd when the
+//! platform recovers.
 
 use {
     crate::{gossip, home::Home, node::Node, telemetry::Count},
@@ -16,52 +17,52 @@
     tokio::time::sleep,
 };
 
-/// Kinds of objects that are no facts.
+/// Kinds of platform objects that are not gossiped as facts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum ObjectKind {
-    /// Terms given out, by group.
+    /// The allocated terms of a group.
     Term,
 }
 
-/// How soon terms are needed.
+/// Urgency of a term allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefillUrgency {
-    /// For a failover to come.
+    /// The terms are a reserve for a future failover.
     Background,
-    /// A failover waits for them.
+    /// A failover is blocked until the terms are available.
     Immediate,
 }
 
-/// Kinds that are watched and spread.
-const WATCHED: [FactKind; 3] = [FactKind::Group, FactKind::Plan, FactKind::Leave];
-/// First and longest wait after a failed call, in milliseconds.
-const BACKOFF: (u64, u64) = (100, 5_000);
-/// How long an instance waits for its peers' facts before it asks the platform, in milliseconds.
-const PEERS_FIRST: u64 = 700;
-/// Between two reads of the platform's list of instances, in milliseconds.
-const LIST_PERIOD: u64 = 10_000;
-/// Blocks of terms that are taken ahead are asked for within this time, in milliseconds, so that homes which start at
-/// once don't ask at once.
-const REFILL_SPREAD: u64 = 500;
-/// Pause after the platform gave no terms.
-const REFILL_PAUSE: Duration = Duration::from_millis(200);
-/// Time for another home to part with terms: two crossings of availability zones and what waits there.
-const SHARE_LIMIT: Duration = Duration::from_millis(150);
-/// Most tries to record a term.
-const RECORD_TRIES: usize = 200;
+/// Kinds of facts that are watched on the platform and gossiped.
+const WATCHED_KINDS: [FactKind; 3] = [FactKind::Group, FactKind::Plan, FactKind::Leave];
+/// Initial and maximum backoff after a failed call, in milliseconds.
+const BACKOFF_MS: (u64, u64) = (100, 5_000);
+/// Time that an instance waits for facts from its peers before it reads them from the platform, in milliseconds.
+const GOSSIP_GRACE_MS: u64 = 700;
+/// Interval between two reads of the platform's list of instances, in milliseconds, before jitter.
+const LIST_INTERVAL_MS: u64 = 10_000;
+/// Maximum jitter before a background allocation of terms, in milliseconds, so that homes that start together don't
+/// call the platform simultaneously.
+const ALLOCATE_JITTER_MS: u64 = 500;
+/// Pause after a failed allocation of terms.
+const ALLOCATE_PAUSE: Duration = Duration::from_millis(200);
+/// Timeout of a request for another home's terms: a round trip between availability zones plus queueing at the peer.
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum attempts to record a term.
+const MAX_RECORD_ATTEMPTS: usize = 200;
 
-/// Keeps in touch with the platform for the life of the instance.
+/// Synchronises with the platform until the instance stops.
 pub async fn run(node: Rc<Node>) {
-    for kind in WATCHED {
+    for kind in WATCHED_KINDS {
         tokio::task::spawn_local(watch(node.clone(), kind));
     }
-    tokio::task::spawn_local(instances(node.clone()));
-    first_facts(&node).await;
+    tokio::task::spawn_local(discover_instances(node.clone()));
+    load_initial_facts(&node).await;
 }
 
 fn backoff() -> Backoff {
-    Backoff::new(BACKOFF.0, BACKOFF.1)
+    Backoff::new(BACKOFF_MS.0, BACKOFF_MS.1)
 }
 
 async fn pause(node: &Node, backoff: &mut Backoff) {
@@ -69,12 +70,12 @@
     sleep(Duration::from_millis(ms)).await;
 }
 
-/// Copies the platform client's counts into the instance's own.
-pub fn record_call_counts(node: &Node, before: &mut Vec<(Call, u64)>) {
-    let now = node.platform.calls();
-    for (call, n) in &now {
-        let old = before.iter().find(|it| it.0 == *call).map_or(0, |it| it.1);
-        let what = match call {
+/// Adds the calls that the platform client made since `previous` to the instance's counters.
+pub fn record_call_counts(node: &Node, previous: &mut Vec<(Call, u64)>) {
+    let current = node.platform.calls();
+    for (call, n) in &current {
+        let old = previous.iter().find(|p| p.0 == *call).map_or(0, |p| p.1);
+        let counter = match call {
             Call::Get => Count::PlatformGet,
             Call::List => Count::PlatformList,
             Call::Put => Count::PlatformPut,
@@ -82,22 +83,22 @@
             Call::Instances => Count::PlatformInstances,
         };
         if *n > old {
-            node.counters.add(what, n - old);
+            node.counters.add(counter, n - old);
         }
     }
-    *before = now;
+    *previous = current;
 }
 
-/// Whether this instance is one of the few that hold watches.
+/// Returns true if this instance is one of the few that hold watches on the platform.
 fn is_watcher(node: &Node) -> bool {
     !node.leaving.get() && placement::watchers(&node.members.borrow().active()).contains(&node.name)
 }
 
-/// Watches one kind while this instance is one of the few that do.
+/// Watches one kind of fact while this instance is a watcher.
 async fn watch(node: Rc<Node>, kind: FactKind) {
     let mut backoff = backoff();
-    // Members become known shortly after the start; until then every instance would hold watches.
-    sleep(Duration::from_millis(PEERS_FIRST / 2)).await;
+    // Members are discovered shortly after startup; before that, every instance would consider itself a watcher.
+    sleep(Duration::from_millis(GOSSIP_GRACE_MS / 2)).await;
     let name: &'static str = kind.into();
     let mut since = None;
     loop {
@@ -111,14 +112,14 @@
             Some(version) => node.platform.watch(name, version).await,
         };
         match listing {
-            Ok(it) => {
+            Ok(listing) => {
                 backoff.reset();
-                since = Some(it.version);
-                take(&node, kind, it);
+                since = Some(listing.version);
+                learn_all(&node, kind, listing);
             }
             Err(e) => {
                 log::debug!(step = "watch", peer = "platform"; "{e}");
-                // Changes made meanwhile are in the next listing.
+                // Lists all objects again, to include the changes made while there was no watch.
                 since = None;
                 pause(&node, &mut backoff).await;
             }
@@ -126,32 +127,32 @@
     }
 }
 
-fn take(node: &Rc<Node>, kind: FactKind, listing: Listing) {
-    for it in listing.objects {
-        gossip::learn(node, fact(kind, &it));
+fn learn_all(node: &Rc<Node>, kind: FactKind, listing: Listing) {
+    for object in listing.objects {
+        gossip::learn(node, fact(kind, &object));
     }
 }
 
-/// An object as a fact.
-pub fn fact(kind: FactKind, it: &Object) -> Fact {
-    let text = it.value.as_ref().map_or("null", |it| it.get());
-    let key = FactKey { kind, name: it.name.clone() };
-    Fact { key, version: it.version, value: Arc::from(text.as_bytes()) }
+/// Converts a platform object to a fact.
+pub fn fact(kind: FactKind, object: &Object) -> Fact {
+    let text = object.value.as_ref().map_or("null", |v| v.get());
+    let key = FactKey { kind, name: object.name.clone() };
+    Fact { key, version: object.version, value: Arc::from(text.as_bytes()) }
 }
 
-/// An instance that has no facts after a while, and no peers to give them, reads them itself.
-async fn first_facts(node: &Rc<Node>) {
-    let jitter = node.random() % PEERS_FIRST;
-    sleep(Duration::from_millis(PEERS_FIRST + jitter)).await;
+/// Reads the groups from the platform if the instance has received none from its peers after the grace period.
+async fn load_initial_facts(node: &Rc<Node>) {
+    let jitter = node.random() % GOSSIP_GRACE_MS;
+    sleep(Duration::from_millis(GOSSIP_GRACE_MS + jitter)).await;
     let mut backoff = backoff();
     while node.groups.borrow().is_empty() {
         let kind = FactKind::Group;
         match node.platform.list(kind.into()).await {
-            Ok(it) => {
-                let empty = it.objects.is_empty();
-                take(node, kind, it);
+            Ok(listing) => {
+                let empty = listing.objects.is_empty();
+                learn_all(node, kind, listing);
                 if empty {
-                    // Nothing is configured yet: news will come by a watch.
+                    // No group is configured yet; a watch delivers the first one.
                     return;
                 }
             }
@@ -160,8 +161,10 @@
     }
 }
 
-/// Joins through the platform's list; the few that hold watches look for missing members now and then.
-async fn instances(node: Rc<Node>) {
+/// Joins the cluster through the platform's list of instances.
+///
+/// Watchers read the list periodically afterwards, to find members that gossip has missed.
+async fn discover_instances(node: Rc<Node>) {
     let mut backoff = backoff();
     let mut first = true;
     loop {
@@ -170,7 +173,7 @@
                 Ok(list) => {
                     backoff.reset();
                     first = false;
-                    let others = list.into_iter().filter(|it| it.name != node.name).map(|it| it.addr);
+                    let others = list.into_iter().filter(|i| i.name != node.name).map(|i| i.addr);
                     node.members.borrow_mut().add_seeds(others);
                 }
                 Err(_) => {
@@ -179,57 +182,59 @@
                 }
             }
         }
-        let jitter = node.random() % (LIST_PERIOD / 2);
-        sleep(Duration::from_millis(LIST_PERIOD + jitter)).await;
+        let jitter = node.random() % (LIST_INTERVAL_MS / 2);
+        sleep(Duration::from_millis(LIST_INTERVAL_MS + jitter)).await;
     }
 }
 
-/// Takes terms ahead for the homes here that are low on them.
+/// Replenishes the reserve of terms of each home on this instance.
 pub fn replenish_all(node: &Rc<Node>) {
     for home in node.homes.borrow().iter() {
         replenish(node, home, RefillUrgency::Background);
     }
 }
 
-/// Drops the terms of a home that are no longer of use, and takes more in the background if few are left.
-pub fn replenish(node: &Rc<Node>, home: &Rc<Home>, need: RefillUrgency) {
+/// Drops the terms of a home that are not above the current term, and allocates more in the background if few remain.
+pub fn replenish(node: &Rc<Node>, home: &Rc<Home>, urgency: RefillUrgency) {
     let mut grants = home.grants.borrow_mut();
     grants.discard_through(home.term());
-    let (low, none) = (grants.is_low(), grants.remaining() == 0);
+    let (low, empty) = (grants.is_low(), grants.remaining() == 0);
     drop(grants);
     if !low || home.closing.get() || home.asking.replace(true) {
         return;
     }
     let (node, home) = (node.clone(), home.clone());
     tokio::task::spawn_local(async move {
-        if !none || !share_terms(&node, &home).await {
-            take_block(&node, &home, need).await;
+        if !empty || !reserve_from_peer(&node, &home).await {
+            try_allocate(&node, &home, urgency).await;
         }
         home.asking.set(false);
     });
 }
 
-async fn take_block(node: &Rc<Node>, home: &Home, need: RefillUrgency) {
-    if need == RefillUrgency::Background {
-        sleep(Duration::from_millis(node.random() % REFILL_SPREAD)).await;
+async fn try_allocate(node: &Rc<Node>, home: &Home, urgency: RefillUrgency) {
+    if urgency == RefillUrgency::Background {
+        sleep(Duration::from_millis(node.random() % ALLOCATE_JITTER_MS)).await;
     }
     if let Err(e) = allocate_terms(node, home).await {
-        // Where a failover waits for the term, this is why it doesn't come about.
-        let level = if need == RefillUrgency::Immediate { log::Level::Warn } else { log::Level::Debug };
+        // Without a term the failover can't start, so an operator has to see the error.
+        let level = if urgency == RefillUrgency::Immediate { log::Level::Warn } else { log::Level::Debug };
         log::log!(level, step = "grant", peer = "platform", subject = home.group.as_str(); "no term: {e}");
-        sleep(REFILL_PAUSE).await;
+        sleep(ALLOCATE_PAUSE).await;
     }
 }
 
-/// Takes a part of the terms of another home of the group. While the platform is away this keeps failovers possible when
-/// the one home is lost whose block lies above the term in force.
-async fn share_terms(node: &Rc<Node>, home: &Home) -> bool {
+/// Reserves some of the terms of another home of the group. Returns true if a home gave terms.
+///
+/// While the platform is unavailable, failovers remain possible even if the only home whose block lies above the
+/// current term is lost.
+async fn reserve_from_peer(node: &Rc<Node>, home: &Home) -> bool {
     let known = home.term();
     let homes = node.placement(&home.spec.borrow()).homes.clone();
-    for peer in homes.into_iter().filter(|it| *it != node.name) {
+    for peer in homes.into_iter().filter(|h| *h != node.name) {
         let make = |id| PeerMsg::ReserveTerms { id, group: home.group.clone(), known };
-        let answer = node.peers.request(node, &peer, make, SHARE_LIMIT).await;
-        if let Some(PeerMsg::ReserveTermsReply { block: Some((first, end)), .. }) = answer {
+        let reply = node.peers.request(node, &peer, make, RESERVE_TIMEOUT).await;
+        if let Some(PeerMsg::ReserveTermsReply { block: Some((first, end)), .. }) = reply {
             home.grants.borrow_mut().add(first, end);
             node.record_decision(
                 &home.group,
@@ -242,21 +247,27 @@
     false
 }
 
-/// Takes one more block of terms for a group.
+/// Allocates a block of terms for a group on the platform.
+///
+/// A conflicting write is retried.
+///
+/// # Errors
+///
+/// Returns an error if the platform is unavailable or rejects the call.
 pub async fn allocate_terms(node: &Rc<Node>, home: &Home) -> Result<(), PlatformError> {
     let kind: &'static str = ObjectKind::Term.into();
     loop {
         let (record, version) = read_term(node, &home.group).await?;
         let change = node.random();
         let (next, block) = term_pool::allocate_block(&record, home.term(), change);
-        let done = match node.platform.put(kind, &home.group, version, &next).await {
+        let written = match node.platform.put(kind, &home.group, version, &next).await {
             Ok(_) => true,
             Err(PlatformError::Conflict { .. }) => false,
-            // The answer may be lost although the write took effect: the record tells.
+            // The write may have taken effect although the response was lost; the change id in the record decides.
             Err(PlatformError::Unavailable { .. }) => read_term(node, &home.group).await?.0.change == change,
             Err(e) => return Err(e),
         };
-        if done {
+        if written {
             home.grants.borrow_mut().add(block.0, block.1);
             return Ok(());
         }
@@ -265,18 +276,18 @@
 
 async fn read_term(node: &Node, group: &Name) -> Result<(TermRecord, u64), PlatformError> {
     match node.platform.get(ObjectKind::Term.into(), group).await {
-        Ok(it) => Ok((it.read()?, it.version)),
+        Ok(object) => Ok((object.read()?, object.version)),
         Err(PlatformError::Missing { .. }) => Ok((TermRecord::default(), 0)),
         Err(e) => Err(e),
     }
 }
 
-/// Records a new term on the platform, in the background: the servers hold it already.
+/// Records a new term on the platform. Runs in the background, as the servers have persisted the term already.
 pub fn record_term(node: &Rc<Node>, home: &Rc<Home>, term: Term, primary: &Name) {
     let (node, group, primary) = (node.clone(), home.group.clone(), primary.clone());
     tokio::task::spawn_local(async move {
         let mut backoff = backoff();
-        for _ in 0..RECORD_TRIES {
+        for _ in 0..MAX_RECORD_ATTEMPTS {
             match try_record(&node, &group, term, &primary).await {
                 Ok(()) => return,
                 Err(_) => pause(&node, &mut backoff).await,
