--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -69,9 +69,9 @@
     /// Forwarded to the group's servers; `sets` are its statements that change settings.
     Run { class: Class, sets: Vec<Stmt> },
     /// Changes of pondtrack's configuration parameters, executed here.
-    Own(Vec<ParameterChange>),
+    SetParams(Vec<ParameterChange>),
     /// Query of one of pondtrack's configuration parameters.
-    Show(Name),
+    ShowParam(Name),
     /// Empty query.
     Empty,
 }
@@ -225,8 +225,8 @@
         }
         match work {
             Work::Run { class, sets } => self.forward(batch, class, sets).await,
-            Work::Own(changes) => self.execute_own(&batch, changes),
-            Work::Show(name) => self.execute_show(&batch, &name),
+            Work::SetParams(changes) => self.execute_set(&batch, changes),
+            Work::ShowParam(name) => self.execute_show(&batch, &name),
             Work::Empty => {
                 let mut out = BytesMut::new();
                 answer::put(&EmptyQueryResponse::new(), &mut out);
@@ -251,21 +251,21 @@
         match stmts.as_slice() {
             [] if batch.executes() => Ok(Work::Empty),
             [Stmt::Empty] if batch.is_simple() => Ok(Work::Empty),
-            [Stmt::ShowSetting(name)] => Ok(Work::Show(name.clone())),
-            stmts if stmts.iter().any(is_own) => self.own_changes(stmts),
+            [Stmt::ShowSetting(name)] => Ok(Work::ShowParam(name.clone())),
+            stmts if stmts.iter().any(uses_pondtrack_parameter) => self.parse_changes(stmts),
             stmts => Ok(Work::Run { class: class_of(stmts, batch.executes()), sets: sets_of(stmts) }),
         }
     }
 
     /// Parses the changes of pondtrack's parameters; SQLSTATE 0A000 if the batch holds other statements.
-    fn own_changes(&self, stmts: &[Stmt]) -> Result<Work, SqlError> {
+    fn parse_changes(&self, stmts: &[Stmt]) -> Result<Work, SqlError> {
         let parse = |stmt: &Stmt| match stmt {
             Stmt::Set { name, value, .. } if is_pondtrack_parameter(name) => {
                 parameter::parse(name, value.as_deref())
             }
             _ => Err(SqlError::error("0A000", "pondtrack's own settings have to be sent on their own")),
         };
-        stmts.iter().map(parse).collect::<Result<_, _>>().map(Work::Own)
+        stmts.iter().map(parse).collect::<Result<_, _>>().map(Work::SetParams)
     }
 
     /// Answers a batch in a lost transaction: statements fail until the caller ends the transaction.
@@ -285,7 +285,7 @@
     }
 
     /// Changes pondtrack's parameters.
-    fn execute_own(&mut self, batch: &Batch, changes: Vec<ParameterChange>) -> BytesMut {
+    fn execute_set(&mut self, batch: &Batch, changes: Vec<ParameterChange>) -> BytesMut {
         for change in changes {
             if let Err(e) = self.change(change) {
                 return self.reject(&e, true);
@@ -357,7 +357,8 @@
         }
     }
 
-    /// Builds the request for a batch; it takes the request key if it begins a write outside a transaction.
+    /// Builds the request for a batch. A write outside a transaction, or the start of a transaction, consumes the
+    /// request key.
     fn request(&mut self, batch: &Batch, class: Class, sets: bool, trace: u64) -> Request {
         let in_txn = self.txn() != TxnState::Idle;
         let keyed = !in_txn && matches!(class, Class::Write | Class::Begin) && batch.executes() && !sets;
@@ -626,7 +627,7 @@
 }
 
 /// Returns true if a statement sets or shows one of pondtrack's parameters.
-fn is_own(stmt: &Stmt) -> bool {
+fn uses_pondtrack_parameter(stmt: &Stmt) -> bool {
     matches!(stmt, Stmt::Set { name, .. } if is_pondtrack_parameter(name))
         || matches!(stmt, Stmt::ShowSetting(_))
 }
--- a/crates/pondtrackd/tests/startup.rs
+++ b/crates/pondtrackd/tests/startup.rs
@@ -1,4 +1,5 @@
-//! Startup packets, settings and tokens of any content: no panic, a clear error.
+//! Parsers of untrusted input: startup packets, the options parameter, session tokens, statements and the
+//! values of configuration parameters. Malformed input has to give an error and must not panic.
 
 use {
     pondtrack_core::{classify::classify, token::SessionToken},
@@ -11,28 +12,28 @@
 
 proptest! {
     #[test]
-    fn any_packet(body in prop::collection::vec(any::<u8>(), 0..120)) {
+    fn invalid_startup_packet_is_protocol_violation(body in prop::collection::vec(any::<u8>(), 0..120)) {
         if let Err(e) = parse_startup_params(&body) {
             prop_assert_eq!(e.code, "08P01");
         }
     }
 
     #[test]
-    fn pairs_come_back(pairs in prop::collection::btree_map("[a-z]{1,8}", "[^\\x00]{0,12}", 0..5)) {
+    fn startup_params_are_parsed(pairs in prop::collection::btree_map("[a-z]{1,8}", "[^\\x00]{0,12}", 0..5)) {
         let mut body: Vec<u8> = Vec::new();
         for (key, value) in &pairs {
-            for it in [key, value] {
-                body.extend_from_slice(it.as_bytes());
+            for text in [key, value] {
+                body.extend_from_slice(text.as_bytes());
                 body.push(0);
             }
         }
         body.push(0);
-        let read = parse_startup_params(&body).expect("it is whole");
-        prop_assert_eq!(read.len(), pairs.len());
+        let params = parse_startup_params(&body).expect("the packet is well-formed");
+        prop_assert_eq!(params.len(), pairs.len());
     }
 
     #[test]
-    fn any_text(text in "\\PC{0,60}") {
+    fn arbitrary_text_does_not_panic(text in "\\PC{0,60}") {
         let _ = parse_options(&text);
         let _ = SessionToken::parse(&text);
         let _ = classify(&text);
