--- a/crates/pondtrackd/src/peers.rs
+++ b/crates/pondtrackd/src/peers.rs
@@ -406,7 +406,8 @@
         PeerMsg::ReserveTerms { id, group, known } => {
             // The terms are removed from this home before the reply is sent. A lost reply wastes the terms, but no two
             // homes can own the same term.
-            let block = node.home(&group).and_then(|h| h.term_pool.borrow_mut().split_off(known.max(h.term())));
+            let block =
+                node.home(&group).and_then(|h| h.term_pool.borrow_mut().split_off(known.max(h.term())));
             let _ = sender.try_send(link::encode(&PeerMsg::ReserveTermsReply { id, block }));
         }
         PeerMsg::Hello { .. }
