--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -20,7 +20,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which the platform ends a watch without changes, in seconds.
 const WATCH_SECONDS: u64 = 30;
-/// Additional time allowed for the answer to a watch, after [`WATCH_SECONDS`].
+/// Additional time allowed for the answer to a watch, after `WATCH_SECONDS`.
 const WATCH_GRACE: Duration = Duration::from_secs(5);
 
 /// The kind of a call, for the call counters.
@@ -168,7 +168,7 @@
 
     /// Waits for changes to objects of a kind after the version `since`.
     ///
-    /// Returns an empty list if nothing changed within [`WATCH_SECONDS`].
+    /// Returns an empty list if nothing changed within `WATCH_SECONDS`.
     pub async fn watch(&self, kind: &str, since: u64) -> Result<Listing, PlatformError> {
         let url = format!("{}/watch/{kind}?since={since}&seconds={WATCH_SECONDS}", self.base);
         let limit = Duration::from_secs(WATCH_SECONDS) + WATCH_GRACE;
