--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -20,7 +20,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which the platform ends a watch without changes, in seconds.
 const WATCH_SECONDS: u64 = 30;
-/// Additional time allowed for the answer to a watch, after [`WATCH_SECONDS`].
+/// Additional time allowed for the answer to a watch, after `WATCH_SECONDS`.
 const WATCH_GRACE: Duration = Duration::from_secs(5);
 
 /// The kind of a call, for the call counters.
