--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -64,7 +64,7 @@
     key: Option<Name>,
 }
 
-/// How a batch is executed.
+/// Kind of work that a batch requires.
 enum Work {
     /// Forwarded to the group's servers; `sets` are its statements that change settings.
     Run { class: Class, sets: Vec<Stmt> },
