--- a/crates/pondtrackd/tests/soak/organisations.rs
+++ b/crates/pondtrackd/tests/soak/organisations.rs
@@ -1,9 +1,11 @@
-//! Organisations whose keys are passed on and taken away while faults go on, and one that wants more than its quota.
+//! Organisations whose keys are reassigned and revoked under the other faults, and an organisation whose
+//! callers exceed its quota.
 //!
-//! The ids of statements tell with which key their session was opened; servers note whose connection they came over.
+//! The id of each statement contains the name of the key that opened its session. The stand-in servers record
+//! the organisation that owns the connection on which the statement arrived.
 
 use {
-    super::{ANSWER, RECOVERY, World, ask, growth},
+    super::{RECOVERY, RESPONSE_TIMEOUT, World, config_changes, request},
     crate::stand_in::{Caller, Told, http::KEYS},
     pondtrack_engine::organisation::{KeyHash, Organisation, Organisations, Quota},
     rand::{RngExt, SeedableRng},
@@ -17,15 +19,16 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// Parts the random numbers of this part from the others'.
+/// Salt that separates the random numbers of this module from those of the others.
 const SALT: u64 = 0x51_7cc1_b727_220a;
-/// The quota of one organisation, which its callers would exceed many times.
+/// The quota of one organisation. Without the limit, its callers would exceed the quota many times over.
 const QUOTA: Quota = Quota { rate: 8.0, burst: 8.0 };
-/// The span over which quotas are judged, and what is tolerated above them: a tenth, and so many operations.
+/// The sliding window over which the quota is checked.
 const WINDOW: Duration = Duration::from_secs(5);
+/// Number of operations tolerated in a window above 110 % of the quota.
 const MARGIN: f64 = 20.0;
 
-/// Who holds the key that is passed around.
+/// The organisation that holds the roaming key, which moves between organisations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Holder {
     Acme,
@@ -33,130 +36,138 @@
     Nobody,
 }
 
-/// What was made of organisations so far.
-pub struct Keys {
+/// The assignments of the roaming key so far.
+pub struct KeySchedule {
     rng: RefCell<Pcg64Mcg>,
-    /// Who ever held the key that is passed around, and since when.
-    held: RefCell<Vec<(Instant, Holder)>>,
+    /// Every holder of the roaming key, with the time of the assignment.
+    holders: RefCell<Vec<(Instant, Holder)>>,
+    /// Number of statements sent, for unique ids.
     count: Cell<usize>,
 }
 
-impl Keys {
-    /// Changes of a seed.
-    pub fn new(seed: u64) -> Keys {
+impl KeySchedule {
+    /// Creates the schedule for a seed.
+    pub fn new(seed: u64) -> KeySchedule {
         let rng = RefCell::new(Pcg64Mcg::seed_from_u64(seed ^ SALT));
-        Keys { rng, held: RefCell::default(), count: Cell::default() }
+        KeySchedule { rng, holders: RefCell::default(), count: Cell::default() }
     }
 
     fn below(&self, limit: u64) -> u64 {
         self.rng.borrow_mut().random_range(0..limit)
     }
 
-    /// The organisations of the next configuration.
+    /// Returns the organisations of the next configuration, with the roaming key at a random holder.
     pub fn next(&self) -> Organisations {
-        self.give([Holder::Acme, Holder::Beta, Holder::Nobody][self.below(3) as usize])
+        self.assign([Holder::Acme, Holder::Beta, Holder::Nobody][self.below(3) as usize])
     }
 
-    fn give(&self, holder: Holder) -> Organisations {
-        self.held.borrow_mut().push((Instant::now(), holder));
-        let held = |it| if holder == it { &KEYS[1..2] } else { &[] };
+    /// Records the holder of the roaming key and returns the organisations with that assignment.
+    fn assign(&self, holder: Holder) -> Organisations {
+        self.holders.borrow_mut().push((Instant::now(), holder));
+        let roaming = |h| if holder == h { &KEYS[1..2] } else { &[] };
         Organisations::new(vec![
             organisation("users", &KEYS[..1], None),
-            organisation("acme", held(Holder::Acme), None),
-            organisation("beta", held(Holder::Beta), None),
+            organisation("acme", roaming(Holder::Acme), None),
+            organisation("beta", roaming(Holder::Beta), None),
             organisation("gamma", &KEYS[2..3], Some(QUOTA)),
         ])
     }
 }
 
+/// Returns an organisation with the hashes of the given keys.
 fn organisation(name: &str, keys: &[&str], quota: Option<Quota>) -> Organisation {
-    let keys = keys.iter().map(|it| KeyHash::of(it)).collect();
+    let keys = keys.iter().map(|k| KeyHash::of(k)).collect();
     Organisation { name: name.into(), keys, quota }
 }
 
-/// Callers with the key that is passed around, of the organisation with a quota, and with a key that nobody ever held.
+/// Runs a caller, which uses the roaming key, the key of the organisation with a quota, or a key that no
+/// organisation ever held, depending on its number.
 pub async fn call(world: Rc<World>, caller: usize) {
     let (name, key) = [("roam", KEYS[1]), ("gamma", KEYS[2]), ("nobody", "k-nobody")][caller % 3];
     while !world.stop.get() {
         sleep(Duration::from_millis(10)).await;
         let at = world.keys.below(world.instances.len() as u64) as usize;
         let addr = SocketAddr::from(([127, 0, 0, 1], world.instances[at].ports[0]));
-        let opened = timeout(ANSWER, Caller::try_open_as(addr, "bounded", key)).await;
-        let Ok(Some(mut it)) = opened else { continue };
+        let opened = timeout(RESPONSE_TIMEOUT, Caller::try_open_as(addr, "bounded", key)).await;
+        let Ok(Some(mut conn)) = opened else { continue };
         assert_ne!(name, "nobody", "seed {}: a session with a key that nobody ever held", world.seed);
-        // The connection is used until it ends.
+        // Uses the connection until the session fails, for at most 200 statements.
         for _ in 0..200 {
             let n = world.keys.count.replace(world.keys.count.get() + 1);
-            let (told, goes_on) = ask(&mut it, &format!("o-{name}-{n}"), "READ probe").await;
-            if !goes_on || world.stop.get() {
+            let (response, is_idle) = request(&mut conn, &format!("o-{name}-{n}"), "READ probe").await;
+            if !is_idle || world.stop.get() {
                 break;
             }
-            let pause = if matches!(told, Told::Done(_)) { 2 } else { 20 };
+            let pause = if matches!(response, Told::Done(_)) { 2 } else { 20 };
             sleep(Duration::from_millis(pause)).await;
         }
     }
 }
 
-/// The key is taken away for good; once that is in force at every instance, nothing runs for it.
-pub async fn take_away(world: &World) {
-    growth::change_once(world, world.keys.give(Holder::Nobody));
-    growth::in_force(world).await;
+/// Revokes the roaming key permanently and checks that no statement with the key runs once every instance has
+/// applied the change.
+pub async fn revoke_key(world: &World) {
+    config_changes::change_once(world, world.keys.assign(Holder::Nobody));
+    config_changes::wait_applied(world).await;
     let since = Instant::now() + Duration::from_millis(200);
     sleep(Duration::from_millis(1_200)).await;
-    let late = world.group.servers.iter().flat_map(|it| it.arrivals.borrow().clone());
-    let late: Vec<_> = late.filter(|it| it.at > since && it.id.starts_with("o-roam")).collect();
-    assert!(late.is_empty(), "seed {}: ran with a key that was taken away: {late:?}", world.seed);
+    let late = world.group.servers.iter().flat_map(|s| s.arrivals.borrow().clone());
+    let late: Vec<_> = late.filter(|a| a.at > since && a.id.starts_with("o-roam")).collect();
+    assert!(late.is_empty(), "seed {}: ran with a revoked key: {late:?}", world.seed);
 }
 
-/// Waits until the organisation with a quota is served at some instance.
-pub async fn served(world: &World) {
-    let ran =
-        || world.group.servers.iter().any(|it| it.arrivals.borrow().iter().any(|it| it.owner == "gamma"));
-    let all = async {
+/// Waits until a statement of the organisation with a quota has run, and panics after `RECOVERY`.
+pub async fn wait_served(world: &World) {
+    let ran = || world.group.servers.iter().any(|s| s.arrivals.borrow().iter().any(|a| a.owner == "gamma"));
+    let poll = async {
         while !ran() {
             sleep(Duration::from_millis(50)).await;
         }
     };
-    assert!(timeout(RECOVERY, all).await.is_ok(), "seed {}: nothing ran for who has a quota", world.seed);
+    assert!(
+        timeout(RECOVERY, poll).await.is_ok(),
+        "seed {}: no statement ran for the organisation with a quota",
+        world.seed
+    );
 }
 
-/// What servers ran, against who held which key and what quotas allow.
+/// Checks the statements that servers ran: each ran for an organisation that had held the key of its session
+/// by then, and the organisation with a quota stayed within the quota and its tolerance in every window.
 pub fn check(world: &World) {
     let seed = world.seed;
-    let mut arrivals: Vec<_> =
-        world.group.servers.iter().flat_map(|it| it.arrivals.borrow().clone()).collect();
-    arrivals.sort_by_key(|it| it.at);
-    let held = world.keys.held.borrow();
+    let mut arrivals: Vec<_> = world.group.servers.iter().flat_map(|s| s.arrivals.borrow().clone()).collect();
+    arrivals.sort_by_key(|a| a.at);
+    let history = world.keys.holders.borrow();
     let mut gamma = Vec::new();
-    for it in &arrivals {
-        let holders: Vec<&str> = match it.id.split('-').collect::<Vec<_>>()[..] {
-            ["o", "roam", _] => held
+    for arrival in &arrivals {
+        let holders: Vec<&str> = match arrival.id.split('-').collect::<Vec<_>>()[..] {
+            ["o", "roam", _] => history
                 .iter()
-                .filter(|old| old.0 <= it.at)
-                .filter_map(|old| match old.1 {
+                .filter(|(since, _)| *since <= arrival.at)
+                .filter_map(|(_, holder)| match holder {
                     Holder::Acme => Some("acme"),
                     Holder::Beta => Some("beta"),
                     Holder::Nobody => None,
                 })
                 .collect(),
             ["o", "gamma", _] => {
-                gamma.push(it.at);
+                gamma.push(arrival.at);
                 vec!["gamma"]
             }
             ["o", ..] => Vec::new(),
             _ => vec!["users"],
         };
         assert!(
-            holders.contains(&it.owner.as_str()),
-            "seed {seed}: {it:?}, whose key was held by {holders:?}"
+            holders.contains(&arrival.owner.as_str()),
+            "seed {seed}: {arrival:?}, whose key was held by {holders:?}"
         );
     }
-    let most = (QUOTA.rate * WINDOW.as_secs_f64() + QUOTA.burst) * 1.1 + MARGIN;
+    let max = (QUOTA.rate * WINDOW.as_secs_f64() + QUOTA.burst) * 1.1 + MARGIN;
     let mut highest = 0;
     for (n, at) in gamma.iter().enumerate() {
-        let first = gamma.partition_point(|it| *it + WINDOW < *at);
+        let first = gamma.partition_point(|t| *t + WINDOW < *at);
         highest = highest.max(n + 1 - first);
     }
-    println!("seed {seed}: {} ran under a quota, at most {highest} of {most} in a window", gamma.len());
-    assert!(highest as f64 <= most, "seed {seed}: {highest} ran in a window, at most {most}");
+    println!("seed {seed}: {} ran under a quota, at most {highest} of {max} in a window", gamma.len());
+    assert!(highest as f64 <= max, "seed {seed}: {highest} ran in a window, at most {max}");
 }
