--- a/crates/pondtrackd/src/hosted.rs
+++ b/crates/pondtrackd/src/hosted.rs
@@ -1,4 +1,4 @@
-//! An instance on the platform: the engine with the edge of `pondtrack-platform`.
+//! An instance on the platform: the engine with the adapters of `pondtrack-platform`.
 
 use {
     crate::{reload, telemetry},
@@ -32,16 +32,17 @@
     },
 };
 
-/// The exit status when the settings or an address are not accepted.
-const BAD_SETTINGS: u8 = 2;
-/// Kept of the grace for the end itself, so that the process is not killed while it gives up its lease.
-const END_RESERVE: Duration = Duration::from_millis(400);
-/// Between two looks whether all sessions have ended.
-const END_PAUSE: Duration = Duration::from_millis(20);
-/// Between two looks whether this instance is ready; leaving is noticed at once.
-const READY_PAUSE: Duration = Duration::from_millis(250);
-/// Time for what is given up in the store at the end.
-const FAREWELL: Duration = Duration::from_millis(300);
+/// Exit status if a setting is invalid or an address can't be bound.
+const EXIT_BAD_SETTINGS: u8 = 2;
+/// Part of the grace period reserved for shutdown after draining, so that the process is not killed while it
+/// releases its lease.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(400);
+/// Interval between two checks of the number of open sessions while draining.
+const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// Interval between two readiness checks; the start of a drain triggers a check immediately.
+const READY_POLL: Duration = Duration::from_millis(250);
+/// Time limit for deregistering from the store and releasing the lease at shutdown.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Settings of an instance on the platform; the rest comes from the platform's settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
@@ -52,53 +53,53 @@
     pub log: String,
 }
 
-/// Why an instance doesn't start, or ends.
+/// Error that prevents an instance from starting.
 #[derive(Debug, Snafu)]
 pub enum HostedError {
-    /// The settings file can't be used.
+    /// The settings file can't be read or is invalid.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// The cause.
+        /// The underlying error.
         source: BootError,
     },
-    /// An address can't be listened on.
+    /// Binding a listener to an address failed.
     #[snafu(display("{what} {addr}: {source}"))]
     Listen {
-        /// What the address is for.
+        /// Purpose of the listener.
         what: &'static str,
-        /// The address.
+        /// The configured address.
         addr: SocketAddrV4,
-        /// The cause.
+        /// The underlying error.
         source: io::Error,
     },
-    /// Signals can't be waited for.
+    /// Installing a signal handler failed.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// The cause.
+        /// The underlying error.
         source: io::Error,
     },
 }
 
-/// Runs an instance until a signal ends it.
+/// Runs an instance until SIGTERM; returns the exit status of the process.
 pub fn main(hosted: Hosted) -> ExitCode {
-    let _logs = match telemetry::log_to_stdout(&hosted.log) {
-        Ok(it) => it,
+    let _logger = match telemetry::log_to_stdout(&hosted.log) {
+        Ok(handle) => handle,
         Err(e) => {
             eprintln!("pondtrackd: --log {:?} is not accepted: {e}", hosted.log);
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let done = match runtime {
-        Ok(it) => it.block_on(LocalSet::new().run_until(run())).map_err(|e| e.to_string()),
+    let result = match runtime {
+        Ok(runtime) => runtime.block_on(LocalSet::new().run_until(run())).map_err(|e| e.to_string()),
         Err(e) => Err(e.to_string()),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             log::error!(step = "start"; "{e}");
             eprintln!("pondtrackd: {e}");
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(EXIT_BAD_SETTINGS)
         }
     }
 }
@@ -107,24 +108,24 @@
     let boot = Boot::load()?;
     let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
-    let edge = Adapters {
+    let adapters = Adapters {
         protocol: Box::new(LineProtocol),
         store: Box::new(ObjectStore::new(boot.store.addr)),
         promoter: Box::new(HttpPromoter::new(boot.promoter.addr)),
     };
-    let own = settings::Settings {
+    let own_settings = settings::Settings {
         name: boot.name.clone(),
         zone: boot.zone.clone(),
         peer_addr: boot.peer_addr(),
         first_start: boot.first_start,
-        capacity: boot.limits.map(|it| it.capacity()),
+        capacity: boot.limits.map(|limits| limits.capacity()),
     };
-    let inst = Instance::new(own, reload::bounds(&boot), edge);
+    let inst = Instance::new(own_settings, reload::bounds(&boot), adapters);
     let callers = listen("callers", boot.listen.callers).await?;
     let ready = listen("ready", boot.listen.ready).await?;
     let links = listen("other instances", inst.settings.peer_addr).await?;
     tokio::task::spawn_local(relay::accept(inst.clone(), links));
-    tokio::task::spawn_local(probe(inst.clone(), ready));
+    tokio::task::spawn_local(serve_probe(inst.clone(), ready));
     tokio::task::spawn_local(watcher::run(inst.clone(), Collection::Config));
     tokio::task::spawn_local(watcher::run(inst.clone(), Collection::Servers));
     tokio::task::spawn_local(watcher::register(inst.clone()));
@@ -135,46 +136,47 @@
     tokio::task::spawn_local(report::run(inst.clone()));
     tokio::task::spawn_local(failover::run(inst.clone()));
     let lease = tokio::task::spawn_local(lease::run(inst.clone()));
-    let accepting = tokio::task::spawn_local(session::accept(inst.clone(), callers));
+    let acceptor = tokio::task::spawn_local(session::accept(inst.clone(), callers));
     log::info!(instance = boot.name.as_str(), zone = boot.zone.as_str(), callers:% = boot.listen.callers; "up");
-    tokio::task::spawn_local(reload::follow(inst.clone(), boot.clone(), hangup));
-    // It ends only with the process.
+    tokio::task::spawn_local(reload::watch(inst.clone(), boot.clone(), hangup));
+    // The signal stream ends only with the process, so `None` can be ignored.
     let _ = term.recv().await;
     inst.start_drain();
     drain(&inst).await;
-    accepting.abort();
-    let farewell = async { tokio::join!(watcher::deregister(&inst), lease) };
-    if timeout(FAREWELL, farewell).await.is_err() {
-        log::warn!(step = "end"; "what this instance held in the store was not given up in time");
+    acceptor.abort();
+    let release = async { tokio::join!(watcher::deregister(&inst), lease) };
+    if timeout(RELEASE_TIMEOUT, release).await.is_err() {
+        log::warn!(step = "end"; "timed out deregistering from the store and releasing the lease");
     }
     report::log_report(&inst);
     log::info!(instance = boot.name.as_str(), sessions = inst.sessions.get(); "down");
     Ok(())
 }
 
+/// Binds a TCP listener; `what` names its purpose in the error.
 async fn listen(what: &'static str, addr: SocketAddrV4) -> Result<TcpListener, HostedError> {
     TcpListener::bind(SocketAddr::V4(addr)).await.context(ListenSnafu { what, addr })
 }
 
-/// Waits until all sessions have ended, for as long as the grace allows.
+/// Waits until all sessions have ended, for at most the grace period less [`SHUTDOWN_RESERVE`].
 async fn drain(inst: &Instance) {
-    let quiet = async {
-        // New ones still come until the platform has noticed.
+    let drained = async {
+        // New sessions still arrive until the platform has seen that this instance is not ready.
         sleep(settings::UNREADY_DELAY).await;
         while inst.sessions.get() > 0 {
-            sleep(END_PAUSE).await;
+            sleep(DRAIN_POLL).await;
         }
     };
-    let limit = inst.bounds.get().grace.saturating_sub(END_RESERVE);
-    if timeout(limit, quiet).await.is_err() {
-        log::warn!(sessions = inst.sessions.get(); "ends with work left");
+    let limit = inst.bounds.get().grace.saturating_sub(SHUTDOWN_RESERVE);
+    if timeout(limit, drained).await.is_err() {
+        log::warn!(sessions = inst.sessions.get(); "grace period exceeded with sessions still open");
     }
 }
 
-/// Answers whether new sessions are wanted, and serves the metrics.
-async fn probe(inst: Rc<Instance>, listener: TcpListener) {
+/// Serves the readiness probe and `/metrics`.
+async fn serve_probe(inst: Rc<Instance>, listener: TcpListener) {
     telemetry::install();
-    let (changed, ready) = watch::channel(false);
+    let (ready_sender, ready) = watch::channel(false);
     let app = Router::new()
         .route(
             READY_PATH,
@@ -184,18 +186,18 @@
             }),
         )
         .route("/metrics", routing::get(async || telemetry::render()));
-    let follow = async {
+    let update = async {
         loop {
-            changed.send_replace(inst.is_ready());
-            let leave = inst.drain_started.notified();
+            ready_sender.send_replace(inst.is_ready());
+            let draining = inst.drain_started.notified();
             tokio::select! {
-                () = leave => {}
-                () = sleep(READY_PAUSE) => {}
+                () = draining => {}
+                () = sleep(READY_POLL) => {}
             }
         }
     };
     tokio::select! {
-        it = axum::serve(listener, app) => log::error!(step = "probe"; "ended: {it:?}"),
-        () = follow => {}
+        result = axum::serve(listener, app) => log::error!(step = "probe"; "server ended: {result:?}"),
+        () = update => {}
     }
 }
--- a/crates/pondtrackd/src/lib.rs
+++ b/crates/pondtrackd/src/lib.rs
@@ -1,23 +1,23 @@
-//! The pondtrack instance: one loop on one thread.
+//! A pondtrack instance: one event loop on one thread.
 //!
-//! A caller's statement flows through [`entry`] (its session) and [`forward`] (to a home, maybe over
-//! [`peers`]) to [`home`] (the connections to the group's servers) and back.
+//! A caller's statement passes through [`entry`] (the caller's session) and [`forward`] (routing to a home, over
+//! [`peers`] if the home is on another instance) to [`home`] (connections to the group's servers) and back.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
 //! | [`hosted`] | an instance on the platform |
-//! | [`reload`] | its settings, when they change |
-//! | [`settings`] | flags and environment variables, checked before anything listens |
-//! | [`node`] | what the parts of an instance share |
+//! | [`reload`] | reload of the settings file of an instance on the platform |
+//! | [`settings`] | flags and environment variables, validated before any listener opens |
+//! | [`node`] | state shared by all parts of an instance |
 //! | [`entry`] | callers' sessions |
-//! | [`forward`] | choosing a home and passing requests on |
+//! | [`forward`] | choice of a home and forwarding of requests |
 //! | [`peers`] | links between instances |
-//! | [`home`] | a group's servers: routing, connections, gate, failover |
-//! | [`gossip`] | membership and the spread of facts over datagrams |
-//! | [`platform_sync`] | the platform: watches, grants, records |
-//! | [`planner`] | plans: made, confirmed, worked on |
-//! | [`control`] | the operator's interface |
-//! | [`run`](mod@run), [`program`] | starting and ending |
+//! | [`home`] | servers of a group: routing, connections, gate, failover |
+//! | [`gossip`] | membership and gossip of facts over datagrams |
+//! | [`platform_sync`] | synchronisation with the platform: watches, grants, records |
+//! | [`planner`] | creation, confirmation and execution of plans |
+//! | [`control`] | operator interface |
+//! | [`run`](mod@run), [`program`] | start-up and shutdown |
 //! | [`telemetry`] | counters, metrics, logs |
 
 pub mod control;
--- a/crates/pondtrackd/src/main.rs
+++ b/crates/pondtrackd/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `pondtrackd`: one instance.
+//! The `pondtrackd` binary, which runs one instance.
 
 use {
     pondtrackd::{hosted, program, settings::Mode},
@@ -7,7 +7,7 @@
 
 fn main() -> ExitCode {
     match Mode::from_command_line() {
-        Mode::Hosted(it) => hosted::main(it),
-        Mode::Own(it) => program::main(*it),
+        Mode::Hosted(hosted) => hosted::main(hosted),
+        Mode::Own(settings) => program::main(*settings),
     }
 }
--- a/crates/pondtrackd/src/program.rs
+++ b/crates/pondtrackd/src/program.rs
@@ -1,4 +1,4 @@
-//! The program around an instance: settings, logs, signals.
+//! Process entry point of an instance with its own settings: logging, runtime and signals.
 
 use {
     crate::{Ready, Settings, telemetry},
@@ -6,28 +6,28 @@
     tokio::signal::unix::{SignalKind, signal},
 };
 
-/// The exit status when the settings or an address are not accepted.
-const BAD_SETTINGS: u8 = 2;
+/// Exit status if a setting is invalid or an address can't be bound.
+const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// Runs an instance with these settings until a signal ends it.
+/// Runs an instance until SIGTERM, SIGINT or a stop by an operator; returns the exit status of the process.
 pub fn main(settings: Settings) -> ExitCode {
-    let _logs = match telemetry::log(&settings.log) {
-        Ok(it) => it,
+    let _logger = match telemetry::log(&settings.log) {
+        Ok(handle) => handle,
         Err(e) => {
             eprintln!("pondtrackd: --log {:?} is not accepted: {e}", settings.log);
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let done = match runtime {
-        Ok(it) => it.block_on(run(settings)),
+    let result = match runtime {
+        Ok(runtime) => runtime.block_on(run(settings)),
         Err(e) => Err(e.to_string()),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("pondtrackd: {e}");
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(EXIT_BAD_SETTINGS)
         }
     }
 }
@@ -42,11 +42,11 @@
         }
     };
     let name = settings.name.clone();
-    let ready = |it: Ready| {
-        let metrics = it.metrics.map_or("none".to_owned(), |it| it.to_string());
+    let ready = |addrs: Ready| {
+        let metrics = addrs.metrics.map_or("none".to_owned(), |addr| addr.to_string());
         println!(
             "{name} ready callers={} peers={} control={} metrics={metrics}",
-            it.callers, it.peers, it.control
+            addrs.callers, addrs.peers, addrs.control
         );
     };
     crate::run(settings, ready, stop).await.map_err(|e| e.to_string())
--- a/crates/pondtrackd/src/reload.rs
+++ b/crates/pondtrackd/src/reload.rs
@@ -1,8 +1,8 @@
-//! Settings of an instance on the platform that change while it runs.
+//! Reload of the settings file of an instance on the platform.
 //!
-//! The file is read again at SIGHUP, and when it looks changed: the platform may replace it without a signal.
-//! Times take effect at once. Addresses, names and resources take effect at the next start; a file that can't be used
-//! changes nothing.
+//! The file is read again on SIGHUP, and whenever its length or modification time changes, because the platform may
+//! replace the file without a signal. Changed times take effect immediately; changed addresses, names and resources take
+//! effect at the next start. An invalid file is ignored and the current settings stay in effect.
 
 use {
     pondtrack_engine::{instance::Instance, settings::Bounds},
@@ -11,55 +11,58 @@
     tokio::{signal::unix::Signal, time::timeout},
 };
 
-/// Between two looks at the file: a look is one system call.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval between two polls of the file; each poll costs one system call.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What shows that a file was replaced or written: its length and when it was written.
-type Stamp = Option<(u64, SystemTime)>;
+/// Length and modification time of a file, `None` if its metadata can't be read; compared to detect that the file was
+/// replaced or written.
+type Fingerprint = Option<(u64, SystemTime)>;
 
-/// The times that a settings file names.
+/// Returns the time limits and margins set in a settings file.
 pub fn bounds(boot: &Boot) -> Bounds {
-    let it = &boot.bounds;
-    let revoke = it.strict_revoke.then_some(it.revoke);
-    Bounds { grace: it.grace, drain: it.drain, apply: it.apply, revoke, quota_margin: it.quota_margin }
+    let b = &boot.bounds;
+    let revoke = b.strict_revoke.then_some(b.revoke);
+    Bounds { grace: b.grace, drain: b.drain, apply: b.apply, revoke, quota_margin: b.quota_margin }
 }
 
-/// Takes changed settings in, for good.
-pub async fn follow(inst: Rc<Instance>, mut boot: Boot, mut signal: Signal) {
-    let mut seen = stamp();
+/// Reloads the settings file on `signal` or when the file changes; never returns.
+pub async fn watch(inst: Rc<Instance>, mut boot: Boot, mut signal: Signal) {
+    let mut last = fingerprint();
     loop {
-        let told = timeout(LOOK, signal.recv()).await.is_ok();
-        let now = stamp();
-        if !told && now == seen {
+        let signalled = timeout(POLL_INTERVAL, signal.recv()).await.is_ok();
+        let current = fingerprint();
+        if !signalled && current == last {
             continue;
         }
-        seen = now;
+        last = current;
         match Boot::load() {
-            Ok(it) => {
-                take(&inst, &boot, &it);
-                boot = it;
+            Ok(new) => {
+                apply(&inst, &boot, &new);
+                boot = new;
             }
             Err(e) => log::error!(step = "reload"; "the settings in force are kept: {e}"),
         }
     }
 }
 
-fn take(inst: &Instance, old: &Boot, new: &Boot) {
+/// Applies the new time limits and logs whether other changes take effect only at the next start.
+fn apply(inst: &Instance, old: &Boot, new: &Boot) {
     inst.bounds.set(bounds(new));
-    let later = (&old.name, &old.listen, &old.store, &old.promoter, &old.limits)
+    let restart_needed = (&old.name, &old.listen, &old.store, &old.promoter, &old.limits)
         != (&new.name, &new.listen, &new.store, &new.promoter, &new.limits);
     log::info!(
         grace_ms = new.bounds.grace.as_millis() as u64,
         drain_ms = new.bounds.drain.as_millis() as u64,
         apply_ms = new.bounds.apply.as_millis() as u64,
         changed = old != new,
-        at_next_start = later;
+        at_next_start = restart_needed;
         "settings read again"
     );
 }
 
-/// The file as it looks now; nothing when it can't be looked at, which reading it will explain.
-fn stamp() -> Stamp {
-    let it = fs::metadata(env::var(PATH_ENV).ok()?).ok()?;
-    Some((it.len(), it.modified().ok()?))
+/// Returns the fingerprint of the settings file, or `None` if its metadata can't be read; the following read of the
+/// file reports the cause.
+fn fingerprint() -> Fingerprint {
+    let metadata = fs::metadata(env::var(PATH_ENV).ok()?).ok()?;
+    Some((metadata.len(), metadata.modified().ok()?))
 }
--- a/crates/pondtrackd/src/run.rs
+++ b/crates/pondtrackd/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting, running and ending an instance.
+//! Start-up, main tasks and graceful shutdown of an instance.
 
 use {
     crate::{
@@ -14,70 +14,73 @@
     },
 };
 
-/// Why an instance doesn't start.
+/// Error that prevents an instance from starting.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// A setting is not accepted.
+    /// A setting has an invalid value.
     #[snafu(display("{source}"), context(false))]
     Setting {
-        /// The setting.
+        /// The invalid setting.
         source: crate::settings::SettingError,
     },
-    /// An address can't be listened on.
+    /// Binding a listener to an address failed.
     #[snafu(display("--{setting} {addr}: {source}"))]
     Listen {
-        /// The setting.
+        /// Name of the setting, without the leading dashes.
         setting: &'static str,
-        /// The address.
+        /// The configured address.
         addr: SocketAddr,
-        /// The cause.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The platform's client can't be set up.
+    /// Creating the platform client failed.
     #[snafu(display("{source}"), context(false))]
     Platform {
-        /// The cause.
+        /// The underlying error.
         source: pondtrack_edge::PlatformError,
     },
 }
 
-/// The addresses of an instance that is up.
+/// Listen addresses of a running instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ready {
-    /// For callers.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// For other instances.
+    /// Address that other instances connect to, over TCP and UDP.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Address that operators connect to.
     pub control: SocketAddr,
-    /// For `/metrics`.
+    /// Address that serves `/metrics`; `None` if metrics are disabled.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Parts that the timer wakes.
+/// Periodic tasks driven by the timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Part {
-    Members,
+enum Task {
+    Membership,
     Grants,
     Homes,
-    Calls,
+    CallCounts,
 }
 
-impl Part {
-    const ALL: [Part; 4] = [Part::Members, Part::Grants, Part::Homes, Part::Calls];
+impl Task {
+    const ALL: [Task; 4] = [Task::Membership, Task::Grants, Task::Homes, Task::CallCounts];
 
-    /// Between two wakes, in milliseconds.
+    /// Interval between two runs, in milliseconds.
     fn period(self, settings: &Settings) -> u64 {
         match self {
-            Part::Members => (settings.probe_ms / 10).clamp(10, 100),
-            Part::Grants => 500,
-            Part::Homes => 500,
-            Part::Calls => 1_000,
+            Task::Membership => (settings.probe_ms / 10).clamp(10, 100),
+            Task::Grants => 500,
+            Task::Homes => 500,
+            Task::CallCounts => 1_000,
         }
     }
 }
 
-/// Runs an instance until it is told to stop; `ready` gets its addresses.
+/// Runs an instance until `stop` completes or an operator stops it.
+///
+/// `ready` is called with the listen addresses once the instance accepts connections. Fails if a setting is
+/// invalid, an address can't be bound or the platform client can't be created.
 pub async fn run(
     mut settings: Settings,
     ready: impl FnOnce(Ready),
@@ -103,83 +106,86 @@
     ready: impl FnOnce(Ready),
     stop: impl Future<Output = ()>,
 ) -> Result<(), RunError> {
-    let own = &node.settings;
-    let control = control::serve(node.clone(), own.control_listen)
+    let settings = &node.settings;
+    let control = control::serve(node.clone(), settings.control_listen)
         .await
-        .context(ListenSnafu { setting: "control-listen", addr: own.control_listen })?;
-    let metrics = match own.metrics_listen {
+        .context(ListenSnafu { setting: "control-listen", addr: settings.control_listen })?;
+    let metrics = match settings.metrics_listen {
         Some(addr) => {
             telemetry::install();
             Some(telemetry::serve(addr).await.context(ListenSnafu { setting: "metrics-listen", addr })?)
         }
         None => None,
     };
-    let local = |it: &TcpListener, addr| it.local_addr().unwrap_or(addr);
+    let local_addr = |listener: &TcpListener, addr| listener.local_addr().unwrap_or(addr);
     let addrs = Ready {
-        callers: local(&callers, own.listen),
-        peers: local(&links, own.peer_listen),
+        callers: local_addr(&callers, settings.listen),
+        peers: local_addr(&links, settings.peer_listen),
         control,
         metrics,
     };
-    let accepting = tokio::task::spawn_local(entry::serve(node.clone(), callers));
+    let acceptor = tokio::task::spawn_local(entry::serve(node.clone(), callers));
     tokio::task::spawn_local(peers::serve(node.clone(), links));
     tokio::task::spawn_local(gossip::serve(node.clone()));
     tokio::task::spawn_local(platform_sync::run(node.clone()));
     tokio::task::spawn_local(planner::run(node.clone()));
-    tokio::task::spawn_local(timers(node.clone()));
+    tokio::task::spawn_local(run_timers(node.clone()));
     log::info!(instance = node.name.as_str(), zone = node.zone.as_str(), listen = addrs.callers.to_string().as_str(); "up");
     ready(addrs);
     tokio::select! {
         () = stop => leave(&node, "a signal"),
         () = node.stopped.notified() => {}
     }
-    accepting.abort();
-    end(&node).await;
+    acceptor.abort();
+    drain(&node).await;
     Ok(())
 }
 
-async fn timers(node: Rc<Node>) {
+/// Runs every periodic task when its timer expires.
+async fn run_timers(node: Rc<Node>) {
     let mut timers = Timers::default();
     let mut calls = Vec::new();
-    for it in Part::ALL {
-        timers.set(it, node.now());
+    for task in Task::ALL {
+        timers.set(task, node.now());
     }
     loop {
         let now = node.now();
-        for it in timers.take_due(now) {
-            match it {
-                Part::Members => gossip::tick(&node),
-                Part::Grants => platform_sync::replenish_all(&node),
-                Part::Homes => node.homes.borrow_mut().retain(|it| !it.is_drained()),
-                Part::Calls => platform_sync::record_call_counts(&node, &mut calls),
+        for task in timers.take_due(now) {
+            match task {
+                Task::Membership => gossip::tick(&node),
+                Task::Grants => platform_sync::replenish_all(&node),
+                Task::Homes => node.homes.borrow_mut().retain(|home| !home.is_drained()),
+                Task::CallCounts => platform_sync::record_call_counts(&node, &mut calls),
             }
-            timers.set(it, now + it.period(&node.settings));
+            timers.set(task, now + task.period(&node.settings));
         }
         let next = timers.next_deadline().unwrap_or(now + 1_000);
         sleep(Duration::from_millis(next.saturating_sub(node.now()).max(1))).await;
     }
 }
 
-/// Begins to leave: no new sessions, groups move to other homes, what is in flight is finished.
+/// Starts a graceful shutdown: refuses new sessions, moves groups to other homes and finishes requests in flight.
+///
+/// `why` is recorded with the decision. Repeated calls have no effect.
 pub fn leave(node: &Rc<Node>, why: &str) {
     if node.leaving.replace(true) {
         return;
     }
     node.record_decision(&node.name, "this instance leaves", why);
-    let out = node.members.borrow_mut().leave();
-    gossip::apply(node, out);
+    let output = node.members.borrow_mut().leave();
+    gossip::apply(node, output);
     gossip::reconcile(node);
     node.drain_started.notify_waiters();
     node.stopped.notify_one();
 }
 
-/// Waits until sessions and the streams of other instances have ended, for the time allowed.
-async fn end(node: &Rc<Node>) {
-    let quiet = async {
-        // Others need a moment to hear of it, and send their requests here until then.
+/// Waits until all sessions and all streams of other instances have ended, for at most `stop_ms`.
+async fn drain(node: &Rc<Node>) {
+    let drained = async {
+        // Other instances route requests here until the leave message has reached them.
         sleep(Duration::from_millis(node.settings.probe_ms.min(1_000))).await;
         loop {
-            node.homes.borrow_mut().retain(|it| !it.is_drained());
+            node.homes.borrow_mut().retain(|home| !home.is_drained());
             if node.sessions.is_empty() && node.homes.borrow().is_empty() {
                 return;
             }
@@ -187,8 +193,8 @@
         }
     };
     let limit = Duration::from_millis(node.settings.stop_ms);
-    if timeout(limit, quiet).await.is_err() {
-        log::warn!(instance = node.name.as_str(), sessions = node.sessions.len(); "ends with work left");
+    if timeout(limit, drained).await.is_err() {
+        log::warn!(instance = node.name.as_str(), sessions = node.sessions.len(); "stop deadline exceeded with sessions or streams still open");
     }
     log::info!(instance = node.name.as_str(); "down");
 }
--- a/crates/pondtrackd/src/settings.rs
+++ b/crates/pondtrackd/src/settings.rs
@@ -1,4 +1,4 @@
-//! Flags and environment variables, checked before anything listens.
+//! Command-line flags and environment variables, validated before any listener opens.
 
 use {
     crate::hosted::{Hosted, hosted_parser},
@@ -9,15 +9,15 @@
     std::net::{IpAddr, Ipv4Addr, SocketAddr},
 };
 
-/// A setting that is not accepted.
+/// Error for a setting with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("--{setting} {value:?} is not accepted; it takes {accepted}"))]
 pub struct SettingError {
-    /// The setting.
+    /// Name of the flag, without the leading dashes.
     pub setting: &'static str,
-    /// The value.
+    /// The rejected value.
     pub value: String,
-    /// What it takes.
+    /// Description of the valid values.
     pub accepted: &'static str,
 }
 
@@ -106,61 +106,61 @@
     pub log: String,
 }
 
-/// A choice between on and off.
+/// Value of an on/off flag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Switch {
-    /// In force.
+    /// Enabled.
     On,
-    /// Not in force.
+    /// Disabled.
     Off,
 }
 
 impl Switch {
-    /// Whether it is on.
+    /// Returns true if the switch is on.
     pub fn is_on(self) -> bool {
         self == Switch::On
     }
 }
 
-/// How an instance is run.
+/// Mode in which the program runs an instance.
 #[derive(Clone, Debug)]
 pub enum Mode {
     /// On the users' platform, which writes a settings file.
     Hosted(Hosted),
-    /// With settings of its own, before servers that speak the PostgreSQL protocol.
+    /// Configured by flags, in front of servers that speak the PostgreSQL protocol.
     Own(Box<Settings>),
 }
 
 impl Mode {
-    /// Reads the command line and the environment; prints and ends on an error.
+    /// Parses the command line and the environment; on an error, prints it and exits the process.
     pub fn from_command_line() -> Mode {
         let hosted = hosted_parser().map(Mode::Hosted).to_options();
         let hosted =
             hosted.descr("Runs on the users' platform, with the settings file it writes").command("hosted");
-        let own = settings_parser().map(|it| Mode::Own(Box::new(it)));
+        let own = settings_parser().map(|settings| Mode::Own(Box::new(settings)));
         bpaf::construct!([hosted, own]).to_options().descr(ABOUT).version(env!("CARGO_PKG_VERSION")).run()
     }
 }
 
-/// What the help says first.
+/// Description at the top of the help text.
 const ABOUT: &str = "An instance of pondtrack, a database proxy with session consistency.\n\n\
                      Every flag can be given as an environment variable instead: PONDTRACK_ and the flag in \
                      capitals, with underscores.";
 
-/// The parser with its help.
+/// Returns the parser of the flags, with the help text.
 pub fn options() -> OptionParser<Settings> {
     settings_parser().to_options().descr(ABOUT).version(env!("CARGO_PKG_VERSION"))
 }
 
 impl Settings {
-    /// Reads arguments, for tests.
+    /// Parses settings from arguments, for tests.
     pub fn from_args(args: &[&str]) -> Result<Settings, String> {
-        let failed = |e: bpaf::ParseFailure| format!("{e:?}");
-        options().run_inner(args).map_err(failed)
+        let describe = |e: bpaf::ParseFailure| format!("{e:?}");
+        options().run_inner(args).map_err(describe)
     }
 
-    /// Checks what the types alone don't.
+    /// Validates ranges and combinations that the types don't enforce; fails with the first invalid setting.
     pub fn check(&self) -> Result<(), SettingError> {
         let fail = |setting, value: &dyn ToString, accepted| {
             Err(SettingError { setting, value: value.to_string(), accepted })
@@ -206,17 +206,17 @@
         Ok(())
     }
 
-    /// The address other instances use.
+    /// Returns the address that other instances connect to.
     pub fn peer_addr(&self) -> SocketAddr {
         self.peer_address.unwrap_or(self.peer_listen)
     }
 
-    /// The instance's name, shared.
+    /// Returns the instance's name as a shared string.
     pub fn shared_name(&self) -> Name {
         Name::from(self.name.as_str())
     }
 
-    /// The detector's times that follow from the settings.
+    /// Returns the failure detector's configuration, with the timeout from the settings.
     pub fn detect(&self) -> DetectorConfig {
         DetectorConfig { silence_timeout: self.silence_ms, ..DetectorConfig::default() }
     }
--- a/crates/pondtrackd/src/telemetry.rs
+++ b/crates/pondtrackd/src/telemetry.rs
@@ -1,7 +1,7 @@
-//! Counters, metrics and logs.
+//! Counters, metrics and logging.
 //!
-//! Every counter is kept twice: for `/metrics`, and for `pondtrack status`. `docs/REFERENCE.md` lists
-//! them all, which a test checks.
+//! Every counter is kept twice: for `/metrics`, and for `pondtrack status`. A test checks that
+//! `docs/REFERENCE.md` lists every counter.
 
 use {
     metrics_prometheus::Recorder,
@@ -10,124 +10,126 @@
     strum::{Display, EnumIter, IntoStaticStr},
 };
 
-/// What is counted; the name of the metric is `pondtrack_` with the name below and `_total`.
+/// Identifier of a counter; its metric is named `pondtrack_<variant in snake case>_total`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Count {
-    /// Batches of statements taken from callers.
+    /// Statement batches received from callers.
     Statements,
     /// Reads answered by a replica.
     ReplicaReads,
     /// Reads answered by the primary.
     PrimaryReads,
-    /// Reads that a replica could not answer and that went elsewhere.
+    /// Reads that a replica could not answer and that were retried on another server.
     RetriedReads,
-    /// Requests answered as not run.
+    /// Requests reported to the caller as not run.
     NotRun,
-    /// Requests answered as unknown.
+    /// Requests reported to the caller with an unknown outcome.
     Unknown,
-    /// Requests refused by admission.
+    /// Requests refused by admission control.
     Refused,
-    /// Requests with a key whose recorded outcome was answered.
+    /// Requests with an idempotency key that were answered with the recorded outcome.
     Repeated,
-    /// Acknowledgements that waited for a majority.
+    /// Acknowledgements delayed until a majority had the write.
     Gated,
-    /// Rounds that asked a majority for the term.
+    /// Barrier rounds, each of which confirms the term with a majority.
     Barriers,
-    /// Changes of primary begun here.
+    /// Failovers started by this instance.
     Switches,
-    /// Changes of primary finished here.
+    /// Failovers completed by this instance.
     Promotions,
-    /// Suspicions that another home spoke against.
+    /// Suspicions of a primary vetoed by another home.
     Vetoes,
-    /// Replies on a peer link that nobody waited for.
+    /// Replies on a peer link that match no pending request.
     Unmatched,
     /// Datagrams sent to other instances.
     DatagramsSent,
     /// Bytes of datagrams sent to other instances.
     DatagramBytesSent,
-    /// Datagrams taken from other instances.
+    /// Datagrams received from other instances.
     DatagramsTaken,
     /// Malformed datagrams dropped.
     DatagramsBad,
-    /// Facts accepted.
+    /// Gossiped facts accepted.
     FactsAccepted,
-    /// Connections to servers opened.
+    /// Connections opened to servers.
     UpstreamsOpened,
-    /// Connections to servers that were refused for their limit.
+    /// Connections refused by servers at their connection limit.
     UpstreamsRefused,
-    /// Questions and orders to servers, watches among them.
+    /// Control requests to servers (queries, commands and watches).
     ServerOrders,
-    /// Bytes of these questions, orders and their answers.
+    /// Bytes of control requests to servers and of their responses.
     ServerOrderBytes,
-    /// Times this instance noticed that it had been paused.
+    /// Detected pauses of this process.
     Pauses,
-    /// Calls of the platform to read an object.
+    /// Platform calls that read an object.
     PlatformGet,
-    /// Calls of the platform to read a kind.
+    /// Platform calls that list the objects of a kind.
     PlatformList,
-    /// Calls of the platform to write.
+    /// Platform calls that write an object.
     PlatformPut,
-    /// Calls of the platform to wait for changes.
+    /// Platform calls that wait for changes.
     PlatformWatch,
-    /// Calls of the platform for its list of instances.
+    /// Platform calls that read the list of instances.
     PlatformInstances,
 }
 
-/// The counters of one instance, sorted, each with its metric.
+/// Counters of one instance, each with its metric, sorted by identifier.
 #[derive(Default)]
 pub struct Counters {
-    list: RefCell<Vec<(Count, u64, metrics::Counter)>>,
+    entries: RefCell<Vec<(Count, u64, metrics::Counter)>>,
 }
 
 impl Counters {
-    /// Adds to a counter.
-    pub fn add(&self, what: Count, n: u64) {
-        let mut list = self.list.borrow_mut();
-        let at = list.binary_search_by_key(&what, |it| it.0).unwrap_or_else(|at| {
-            // Looked up once: most counters are on the path of every statement.
-            let name: &'static str = what.into();
-            list.insert(at, (what, 0, metrics::counter!(metric(name))));
-            at
+    /// Adds `n` to a counter.
+    pub fn add(&self, count: Count, n: u64) {
+        let mut entries = self.entries.borrow_mut();
+        let i = entries.binary_search_by_key(&count, |e| e.0).unwrap_or_else(|i| {
+            // The metric handle is cached because most counters are on the path of every statement.
+            let name: &'static str = count.into();
+            entries.insert(i, (count, 0, metrics::counter!(metric(name))));
+            i
         });
-        list[at].1 += n;
-        list[at].2.increment(n);
+        entries[i].1 += n;
+        entries[i].2.increment(n);
     }
 
-    /// A counter's value.
-    pub fn get(&self, what: Count) -> u64 {
-        let list = self.list.borrow();
-        list.binary_search_by_key(&what, |it| it.0).map_or(0, |at| list[at].1)
+    /// Returns the value of a counter, 0 if it was never incremented.
+    pub fn get(&self, count: Count) -> u64 {
+        let entries = self.entries.borrow();
+        entries.binary_search_by_key(&count, |e| e.0).map_or(0, |i| entries[i].1)
     }
 
-    /// Adds one to a counter.
-    pub fn one(&self, what: Count) {
-        self.add(what, 1);
+    /// Increments a counter by one.
+    pub fn one(&self, count: Count) {
+        self.add(count, 1);
     }
 
-    /// All counters by name.
+    /// Returns the names and values of all counters incremented so far.
     pub fn all(&self) -> Vec<(String, u64)> {
-        self.list.borrow().iter().map(|it| (it.0.to_string(), it.1)).collect()
+        self.entries.borrow().iter().map(|e| (e.0.to_string(), e.1)).collect()
     }
 }
 
-/// The name of a counter's metric.
+/// Returns the metric name of a counter.
 pub fn metric(name: &str) -> String {
     format!("pondtrack_{name}_total")
 }
 
 static RECORDER: OnceLock<Option<Recorder>> = OnceLock::new();
 
-/// Installs the recorder of the process, once.
+/// Installs the metrics recorder of the process on the first call and returns it.
+///
+/// Returns `None` if the installation failed; the error is logged once.
 pub fn install() -> Option<&'static Recorder> {
     let install = || {
-        let it = Recorder::builder().try_build_and_install();
-        it.inspect_err(|e| log::warn!(step = "metrics"; "not installed: {e}")).ok()
+        let result = Recorder::builder().try_build_and_install();
+        result.inspect_err(|e| log::warn!(step = "metrics"; "installing the recorder failed: {e}")).ok()
     };
     RECORDER.get_or_init(install).as_ref()
 }
 
-/// Serves `/metrics`; hands back the address.
+/// Serves `/metrics` in a background task; returns the bound address.
 pub async fn serve(listen: SocketAddr) -> std::io::Result<SocketAddr> {
     let listener = tokio::net::TcpListener::bind(listen).await?;
     let addr = listener.local_addr()?;
@@ -140,48 +142,52 @@
     Ok(addr)
 }
 
-/// Records how long a write waited for its majority, in seconds.
-pub fn gate_wait(took: Duration) {
-    metrics::histogram!("pondtrack_gate_wait_seconds").record(took);
+/// Records the time for which a write waited for its majority, in seconds.
+pub fn gate_wait(elapsed: Duration) {
+    metrics::histogram!("pondtrack_gate_wait_seconds").record(elapsed);
 }
 
-/// Records how long a group had no usable primary, in seconds.
-pub fn failover_gap(took: Duration) {
-    metrics::histogram!("pondtrack_failover_gap_seconds").record(took);
+/// Records the time for which a group had no usable primary, in seconds.
+pub fn failover_gap(elapsed: Duration) {
+    metrics::histogram!("pondtrack_failover_gap_seconds").record(elapsed);
 }
 
-/// Records the share of reads that replicas answered so far.
-pub fn replica_share(share: f64) {
-    metrics::gauge!("pondtrack_replica_read_ratio").set(share);
+/// Sets the ratio of reads answered by replicas so far, from 0 to 1.
+pub fn replica_share(ratio: f64) {
+    metrics::gauge!("pondtrack_replica_read_ratio").set(ratio);
 }
 
-/// Begins logging to standard error; a second call changes nothing.
+/// Starts logging to standard error; a second call has no effect.
+///
+/// Fails if `spec` is not a valid flexi_logger specification.
 pub fn log(spec: &str) -> Result<Option<flexi_logger::LoggerHandle>, String> {
     let logger = flexi_logger::Logger::try_with_str(spec).map_err(|e| e.to_string())?;
-    Ok(logger.format(line).start().ok())
+    Ok(logger.format(format_record).start().ok())
 }
 
-/// The metrics as text.
+/// Returns the metrics in the Prometheus text format, or an empty string if they are unavailable.
 pub fn render() -> String {
-    let text = install().map(|it| TextEncoder::new().encode_to_string(&it.registry().gather()));
+    let text = install().map(|recorder| TextEncoder::new().encode_to_string(&recorder.registry().gather()));
     match text {
-        Some(Ok(it)) => it,
+        Some(Ok(text)) => text,
         Some(Err(e)) => {
-            log::warn!(step = "metrics"; "not shown: {e}");
+            log::warn!(step = "metrics"; "encoding the metrics failed: {e}");
             String::new()
         }
         None => String::new(),
     }
 }
 
-/// Begins logging to standard output; a second call changes nothing.
+/// Starts logging to standard output; a second call has no effect.
+///
+/// Fails if `spec` is not a valid flexi_logger specification.
 pub fn log_to_stdout(spec: &str) -> Result<Option<flexi_logger::LoggerHandle>, String> {
     let logger = flexi_logger::Logger::try_with_str(spec).map_err(|e| e.to_string())?;
-    Ok(logger.log_to_stdout().format(line).start().ok())
+    Ok(logger.log_to_stdout().format(format_record).start().ok())
 }
 
-/// One line a record: time, level, place, text, then the structured values.
-fn line(
+/// Formats a log record as one line: time, level, target, message, then the key-value pairs.
+fn format_record(
     out: &mut dyn std::io::Write,
     now: &mut flexi_logger::DeferredNow,
     record: &log::Record<'_>,
@@ -196,6 +202,7 @@
     Ok(())
 }
 
+/// Collects the key-value pairs of a log record.
 struct Pairs(Vec<(String, String)>);
 
 impl<'kvs> log::kv::VisitSource<'kvs> for Pairs {
--- a/crates/pondtrackd/tests/reference.rs
+++ b/crates/pondtrackd/tests/reference.rs
@@ -1,4 +1,5 @@
-//! `docs/REFERENCE.md` lists every counter, SQLSTATE and exit status.
+//! Checks that `docs/REFERENCE.md` lists every counter, metric and SQLSTATE, and `docs/OPERATIONS.md` every engine
+//! counter. The pages go stale when code adds one of these without documenting it.
 
 use {
     pondtrackd::telemetry::{Count, metric},
@@ -8,45 +9,46 @@
 
 fn read(path: &str) -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    fs::read_to_string(root.join(path)).expect("the file is there")
+    fs::read_to_string(root.join(path)).expect("file exists")
 }
 
 #[test]
-fn every_counter_is_listed() {
+fn every_counter_is_documented() {
     let page = read("docs/REFERENCE.md");
-    for it in Count::iter() {
-        let name = format!("`{}`", metric(&it.to_string()));
+    for count in Count::iter() {
+        let name = format!("`{}`", metric(&count.to_string()));
         assert!(page.contains(&name), "{name} is missing");
     }
 }
 
 #[test]
-fn every_code_of_our_own_is_listed() {
+fn every_custom_sqlstate_is_documented() {
     let page = read("docs/REFERENCE.md");
     for file in ["entry/session.rs", "entry/startup.rs", "entry/parameter.rs", "home/request_ledger.rs"] {
         let text = read(&format!("crates/pondtrackd/src/{file}"));
         for part in text.split('"').skip(1).step_by(2) {
-            let like = part.len() == 5 && part.chars().all(|c| c.is_ascii_uppercase() || c.is_ascii_digit());
-            let code = like && part.chars().any(|c| c.is_ascii_digit());
-            let own = code && !["23505", "42P01", "25001", "28000"].contains(&part);
-            assert!(!own || page.contains(&format!("`{part}`")), "{part} of {file} is missing");
+            let sqlstate_like =
+                part.len() == 5 && part.chars().all(|c| c.is_ascii_uppercase() || c.is_ascii_digit());
+            let sqlstate = sqlstate_like && part.chars().any(|c| c.is_ascii_digit());
+            let custom = sqlstate && !["23505", "42P01", "25001", "28000"].contains(&part);
+            assert!(!custom || page.contains(&format!("`{part}`")), "{part} of {file} is missing");
         }
     }
 }
 
 #[test]
-fn every_metric_in_the_code_is_listed() {
+fn every_metric_is_documented() {
     let page = read("docs/REFERENCE.md");
     let text = read("crates/pondtrackd/src/telemetry.rs");
-    for part in text.split('"').filter(|it| it.starts_with("pondtrack_") && !it.contains('{')) {
+    for part in text.split('"').filter(|s| s.starts_with("pondtrack_") && !s.contains('{')) {
         assert!(page.contains(part), "{part} is missing");
     }
 }
 
 #[test]
-fn the_operations_page_names_every_counter_of_the_engine() {
+fn every_engine_counter_is_documented() {
     let page = include_str!("../../../docs/OPERATIONS.md");
-    for it in pondtrack_engine::count::Count::iter() {
-        assert!(page.contains(&format!("_{it}_total")), "{it} is missing in docs/OPERATIONS.md");
+    for count in pondtrack_engine::count::Count::iter() {
+        assert!(page.contains(&format!("_{count}_total")), "{count} is missing in docs/OPERATIONS.md");
     }
 }
--- a/crates/pondtrackd/tests/settings.rs
+++ b/crates/pondtrackd/tests/settings.rs
@@ -1,8 +1,9 @@
-//! Settings are checked before anything listens; every error names the setting, the value and what it takes.
+//! Settings are validated before any listener opens, and each error names the setting, the rejected value and the
+//! valid values.
 
 use {pondtrackd::Settings, rstest::rstest};
 
-const GOOD: [&str; 15] = [
+const VALID_ARGS: [&str; 15] = [
     "--name",
     "p0",
     "--zone",
@@ -20,12 +21,13 @@
     "1000",
 ];
 
-fn read(change: &[&str]) -> Result<Settings, String> {
-    let mut args: Vec<&str> = GOOD.to_vec();
+/// Parses the valid arguments with one of them replaced or with `change` appended.
+fn parse(change: &[&str]) -> Result<Settings, String> {
+    let mut args: Vec<&str> = VALID_ARGS.to_vec();
     if let [flag, value] = change
-        && let Some(at) = args.iter().position(|it| it == flag)
+        && let Some(i) = args.iter().position(|arg| arg == flag)
     {
-        args[at + 1] = value;
+        args[i + 1] = value;
     } else {
         args.extend(change);
     }
@@ -33,9 +35,9 @@
 }
 
 #[test]
-fn good_settings_are_accepted() {
-    let it = read(&[]).expect("they can be read");
-    assert_eq!(it.check(), Ok(()));
+fn valid_settings_are_accepted() {
+    let settings = parse(&[]).expect("arguments parse");
+    assert_eq!(settings.check(), Ok(()));
 }
 
 #[rstest]
@@ -50,22 +52,22 @@
 #[case(&["--max-answer-bytes", "10"], "--max-answer-bytes \"10\"")]
 #[case(&["--max-sessions", "0"], "--max-sessions \"0\"")]
 #[case(&["--peer-listen", "0.0.0.0:0"], "--peer-address \"0.0.0.0:0\"")]
-fn a_bad_value_is_named(#[case] change: &[&str], #[case] named: &str) {
-    let error = read(change).expect("it can be read").check().expect_err("it is refused").to_string();
-    assert!(error.starts_with(named) && error.contains("it takes"), "{error}");
+fn error_names_setting_and_invalid_value(#[case] change: &[&str], #[case] prefix: &str) {
+    let error = parse(change).expect("arguments parse").check().expect_err("check fails").to_string();
+    assert!(error.starts_with(prefix) && error.contains("it takes"), "{error}");
 }
 
 #[rstest]
 #[case(&["--listen", "nowhere"])]
 #[case(&["--gate", "maybe"])]
 #[case(&["--no-such-flag", "1"])]
-fn what_cannot_be_read_is_refused(#[case] change: &[&str]) {
-    assert!(read(change).is_err());
+fn unparsable_arguments_are_rejected(#[case] change: &[&str]) {
+    assert!(parse(change).is_err());
 }
 
 #[test]
-fn plain_text_has_to_be_asked_for() {
-    let args: Vec<&str> = GOOD.iter().copied().filter(|it| *it != "--plaintext").collect();
-    let it = Settings::from_args(&args).expect("it can be read");
-    assert!(it.check().expect_err("it is refused").to_string().contains("plaintext"));
+fn plaintext_requires_explicit_flag() {
+    let args: Vec<&str> = VALID_ARGS.iter().copied().filter(|arg| *arg != "--plaintext").collect();
+    let settings = Settings::from_args(&args).expect("arguments parse");
+    assert!(settings.check().expect_err("check fails").to_string().contains("plaintext"));
 }
