--- a/crates/core/src/quota/renewal.rs
+++ b/crates/core/src/quota/renewal.rs
@@ -124,7 +124,8 @@
         }
         let backoff = MAX_BACKOFF.max(2 * self.placement_time());
         for t in &mut self.targets {
-            // The fleet may have been overestimated before.
+            // Delays grow with the number of instances. If that number was overestimated when `due` was set, `due` may
+            // be too late, so it is moved to at most one present interval, or for a lost limiter one backoff, from now.
             t.due = t.due.min(now + if t.is_lost { backoff } else { interval });
         }
         let mut out = Vec::new();
--- a/crates/core/tests/urgency.rs
+++ b/crates/core/tests/urgency.rs
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Schedules callers at a multiple of the quota, from now on.
+    /// Schedules callers that arrive within `duration` microseconds of the current simulated time, at `load` times the
+    /// rate of the quota.
     fn add_callers(&mut self, load: f64, pattern: Pattern, duration: u64) {
         let end = self.now + duration;
         for (priority, weight) in WEIGHTS.iter().enumerate() {
--- a/crates/edge/src/platform.rs
+++ b/crates/edge/src/platform.rs
@@ -75,7 +75,7 @@
 /// A stored object with its version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Object {
-    /// The name of the object.
+    /// The name of the object, unique among the objects of its kind.
     pub name: Name,
     /// The version, a counter that the platform increments with each change of any object.
     pub version: u64,
--- a/crates/engine/src/channel.rs
+++ b/crates/engine/src/channel.rs
@@ -108,9 +108,9 @@
 
 /// A channel over a connection of this instance.
 pub struct Direct {
-    /// The connection.
+    /// Pooled connection that carries the commands.
     pub conn: PooledConn,
-    /// The server.
+    /// State of the server at the other end of the connection.
     pub server: Rc<Upstream>,
     /// The permit that was acquired before the connection.
     pub permit: Option<Permit>,
--- a/crates/engine/src/model.rs
+++ b/crates/engine/src/model.rs
@@ -34,9 +34,9 @@
     Run(Access),
     /// Sets a session value.
     Set {
-        /// Name of the value.
+        /// Name that the caller gave to the session value.
         name: Name,
-        /// New value.
+        /// New value, which replaces any earlier one of this name.
         value: Name,
     },
     /// Prepares a named statement.
@@ -253,9 +253,9 @@
     Reset,
     /// Sets a session value.
     Set {
-        /// Name of the value.
+        /// Name that the caller gave to the session value.
         name: Name,
-        /// New value.
+        /// New value, which replaces any earlier one of this name.
         value: Name,
     },
     /// Prepares a named statement.
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -60,7 +60,7 @@
     /// Appends an answer to a caller.
     fn encode_answer(&self, answer: &Answer, out: &mut BytesMut);
 
-    /// Appends the answer to a successful open message.
+    /// Appends the answer to a caller's [`CallerMessage::Open`] when the session is accepted.
     fn encode_welcome(&self, out: &mut BytesMut);
 
     /// Appends the refusal of a session.
--- a/crates/engine/src/quota/lending.rs
+++ b/crates/engine/src/quota/lending.rs
@@ -170,8 +170,9 @@
         next.clamp(MIN_DELAY, max_delay)
     }
 
-    /// The instances, other than this one, that are due a loan message: limiters, instances that still hold a share
-    /// meant for another limiter, and lost limiters, which are retried.
+    /// Returns the instances, other than this one, whose next loan message is due. A message is sent to the current
+    /// limiters, to instances that hold an unexpired loan of a share now assigned to another limiter and are asked to
+    /// release it, and to lost limiters, to notice when they are back.
     fn recipients(&self, inst: &Instance) -> Vec<Name> {
         let now = inst.now();
         let Some(limiters) = self.limiters.borrow().clone() else { return Vec::new() };
--- a/crates/pondtrack/src/error.rs
+++ b/crates/pondtrack/src/error.rs
@@ -34,9 +34,9 @@
 /// An error that is shown to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CliError {
-    /// The kind of the error.
+    /// The kind of the error, which determines the exit status.
     pub kind: Kind,
-    /// The error message.
+    /// The message, shown after the kind.
     pub text: String,
     /// A suggested command or correction.
     pub hint: Option<String>,
@@ -48,7 +48,7 @@
         CliError { kind, text: text.into(), hint: None }
     }
 
-    /// Sets the hint.
+    /// Adds a suggested command or correction, which is shown on a line below the message.
     pub fn hint(mut self, hint: impl Into<String>) -> CliError {
         self.hint = Some(hint.into());
         self
--- a/crates/pondtrackd/src/home/exec/mod.rs
+++ b/crates/pondtrackd/src/home/exec/mod.rs
@@ -408,7 +408,8 @@
     (Ok(batch), Some(Box::new(PinnedTxn { conn, server, key, failed })))
 }
 
-/// Fingerprint of transactions in the ledger.
+/// Fingerprint that the ledger holds for a caller's transaction. The key is inserted right after the begin, when the
+/// statements to hash aren't known yet.
 const TXN_FINGERPRINT: &str = "transaction";
 
 /// Returns the log position of an answer of the primary; none unless the server led the same term before and after.
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -45,10 +45,14 @@
 /// in milliseconds; multiplied by the rank of the home plus one.
 const STRANDED_DELAY_MS: u64 = 600;
 
-/// Outcome of an order of a failover.
+/// Result of an order that was sent to a server during a failover.
 enum Outcome {
+    /// The server with this index answered the order for the action. The position that it reported shows whether the
+    /// order took effect.
     Position(usize, Action, Position),
+    /// The server answered with an error.
     Refused,
+    /// The order for the action got no valid answer in time. The server may have executed it.
     Lost(Action),
 }
 
--- a/crates/pondtrackd/src/home/request_ledger.rs
+++ b/crates/pondtrackd/src/home/request_ledger.rs
@@ -1,7 +1,9 @@
-//! Ledger of request keys, for requests that run at most once.
+//! Ledger of request keys, so that a request with a key takes effect at most once.
 //!
-//! The key is inserted into the ledger in the transaction of the work. A second execution, either a repeat by the
-//! caller or a retry by pondtrack, fails with a unique violation and returns the recorded outcome.
+//! The transaction that executes a request also inserts its key into the ledger. When a request is executed again,
+//! because the caller repeats it or pondtrack retries it, the insertion fails with a unique violation. The second
+//! transaction is rolled back, and the caller gets the outcome that the ledger holds for the key. A caller's own
+//! transaction is rejected instead if its key is in the ledger.
 
 use {
     super::exec::{BatchError, BatchResult},
--- a/crates/proto/src/peer.rs
+++ b/crates/proto/src/peer.rs
@@ -183,12 +183,13 @@
         /// Maximum duration of the pause, in milliseconds.
         ms: u32,
     },
-    /// Reply to [`PeerMsg::PauseWrites`], sent once no transaction is open or the time is over.
+    /// Reply to [`PeerMsg::PauseWrites`], sent once no request or transaction of the receiver is in progress at the
+    /// primary, at the latest after a fifth of the pause.
     #[serde(rename = "Held")]
     WritesPaused {
         /// Id of the query.
         id: u64,
-        /// Number of transactions still open.
+        /// Number of requests and transactions still in progress.
         open: u32,
     },
     /// Ends a pause.
