--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -107,11 +107,11 @@
 /// Makes a plan for an intent. Fails if the intent names something unknown, is already fulfilled or is unsafe.
 pub fn propose(name: Name, operator: Name, intent: Intent, view: &ClusterView) -> Result<Plan, PlanError> {
     let (steps, effects, basis) = match &intent {
-        Intent::Drain { group, server } => drain(view, group, server)?,
-        Intent::Return { group, server } => undrain(view, group, server)?,
-        Intent::Switch { group, server } => switch(view, group, server)?,
-        Intent::Stop { instance } => stop(view, instance)?,
-        Intent::Configure { spec } => configure(view, spec)?,
+        Intent::Drain { group, server } => plan_drain(view, group, server)?,
+        Intent::Return { group, server } => plan_undrain(view, group, server)?,
+        Intent::Switch { group, server } => plan_switch(view, group, server)?,
+        Intent::Stop { instance } => plan_stop(view, instance)?,
+        Intent::Configure { spec } => plan_configure(view, spec)?,
     };
     Ok(Plan {
         name,
@@ -146,7 +146,7 @@
 /// Steps, effects, and the basis as kind, name and version.
 type PlanParts = (Vec<Step>, Vec<String>, Vec<(String, Name, u64)>);
 
-fn drain(view: &ClusterView, group: &Name, server: &Name) -> Result<PlanParts, PlanError> {
+fn plan_drain(view: &ClusterView, group: &Name, server: &Name) -> Result<PlanParts, PlanError> {
     let (spec, version) = find_group(view, group)?;
     let target = find_server(spec, server)?;
     if target.draining {
@@ -171,7 +171,7 @@
     Ok((steps, effects, vec![("group".to_owned(), group.clone(), version)]))
 }
 
-fn undrain(view: &ClusterView, group: &Name, server: &Name) -> Result<PlanParts, PlanError> {
+fn plan_undrain(view: &ClusterView, group: &Name, server: &Name) -> Result<PlanParts, PlanError> {
     let (spec, version) = find_group(view, group)?;
     if !find_server(spec, server)?.draining {
         return Err(PlanError::NoChange { reason: format!("{server} is in use already") });
@@ -181,7 +181,7 @@
     Ok((vec![step], vec![effect], vec![("group".to_owned(), group.clone(), version)]))
 }
 
-fn switch(view: &ClusterView, group: &Name, server: &Name) -> Result<PlanParts, PlanError> {
+fn plan_switch(view: &ClusterView, group: &Name, server: &Name) -> Result<PlanParts, PlanError> {
     let (spec, version) = find_group(view, group)?;
     if find_server(spec, server)?.draining {
         let reason = format!("{server} is draining; return it first: pondtrack plan return {group} {server}");
@@ -203,7 +203,7 @@
     Ok((vec![step], effects, vec![("group".to_owned(), group.clone(), version)]))
 }
 
-fn stop(view: &ClusterView, instance: &Name) -> Result<PlanParts, PlanError> {
+fn plan_stop(view: &ClusterView, instance: &Name) -> Result<PlanParts, PlanError> {
     let Some(member) = crate::placement::find(&view.members, instance) else {
         let known = join(view.members.iter().map(|m| &m.name));
         return Err(PlanError::Unknown { kind: "instance", name: instance.clone(), known });
@@ -224,7 +224,7 @@
     Ok((vec![Step::Leave { instance: instance.clone() }], effects, Vec::new()))
 }
 
-fn configure(view: &ClusterView, spec: &GroupSpec) -> Result<PlanParts, PlanError> {
+fn plan_configure(view: &ClusterView, spec: &GroupSpec) -> Result<PlanParts, PlanError> {
     let mut spec = spec.clone();
     spec.servers.sort_by(|a, b| a.name.cmp(&b.name));
     spec.validate().map_err(|e| PlanError::Unsafe { reason: e.to_string() })?;
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -200,8 +200,8 @@
     pub fn should_reject(&mut self, rank: Rank, now: Time) -> bool {
         self.min_share.note_demand(class(&rank), self.request_work(&rank));
         let left = rank.soft_deadline.saturating_sub(now);
-        let waits = !rank.pinned && !self.queue.is_empty();
-        waits
+        let must_queue = !rank.pinned && !self.queue.is_empty();
+        must_queue
             && self.expected_wait(rank, now) * 100 > left * MAX_WAIT_PERCENT
             && self.min_share_wait(rank, now) > left
     }
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -41,7 +41,7 @@
     /// The transaction state reported by ReadyForQuery.
     pub txn: TxnState,
     /// The SQLSTATE of the first error, if any.
-    pub error: Option<String>,
+    pub sqlstate: Option<String>,
 }
 
 /// A failed exchange with a server.
@@ -191,8 +191,8 @@
             );
             answer.frames.extend_from_slice(&frame);
             match frame[0] {
-                b'E' if answer.error.is_none() => {
-                    answer.error = Some(frame::field(&frame, b'C').unwrap_or("XX000").to_owned())
+                b'E' if answer.sqlstate.is_none() => {
+                    answer.sqlstate = Some(frame::field(&frame, b'C').unwrap_or("XX000").to_owned())
                 }
                 b'Z' => {
                     answer.txn = match frame.get(frame::HEADER) {
@@ -223,7 +223,7 @@
             Err(_) => return TimeoutSnafu { step: Step::Receive, peer, ms }.fail(),
         };
         let answer = &answers[0];
-        if answer.error.is_some() {
+        if answer.sqlstate.is_some() {
             return refused(Step::Receive, &peer, &answer.frames);
         }
         let reason = format!("no position in the answer to {:?}", order.query());
--- a/crates/engine/src/group/discovery.rs
+++ b/crates/engine/src/group/discovery.rs
@@ -116,7 +116,7 @@
     /// of instances to each of hundreds of servers would be too many.
     pub(super) fn request_initial_status(&self, inst: &Instance, up: &Upstream) {
         inst.update_placement(up);
-        let home = inst.peers().is_some() && inst.is_configured(&self.name) && up.is_reachable();
+        let home = inst.peers().is_some() && inst.is_configured(&self.name) && up.is_directly_reachable();
         if home || self.is_used() {
             up.request_status();
         }
--- a/crates/engine/src/group/status_reports.rs
+++ b/crates/engine/src/group/status_reports.rs
@@ -66,7 +66,7 @@
     let find = |query: &StatusQuery| {
         let up = servers.iter().find(|up| query.server == up.entry().as_ref().into())?;
         inst.update_placement(up);
-        up.is_reachable().then(|| (up.clone(), received_at.saturating_sub(query.max_age)))
+        up.is_directly_reachable().then(|| (up.clone(), received_at.saturating_sub(query.max_age)))
     };
     let pending: Vec<PendingQuery> = wanted.iter().filter_map(find).collect();
     for (up, since) in pending.iter().filter(|q| !is_satisfied(q)) {
@@ -79,7 +79,7 @@
             is_satisfied(q)
                 || q.0.refused_since().is_some()
                 || q.0.unanswered_since().is_some()
-                || !q.0.is_reachable()
+                || !q.0.is_directly_reachable()
         };
         if pending.iter().all(settled) || timeout_at(deadline, changed).await.is_err() {
             break;
@@ -101,7 +101,7 @@
 /// Returns false if this instance has to request the status from the server itself.
 pub async fn fetch(inst: &Rc<Instance>, group: &Rc<Group>, up: &Rc<Upstream>, since: Micros) -> bool {
     inst.update_placement(up);
-    if up.is_reachable() {
+    if up.is_directly_reachable() {
         if group.primary().is_none() && group.is_used() {
             // Other instances may know a primary that this instance can't reach.
             spawn_local(query_for_primary(inst.clone(), group.clone(), up.clone(), inst.now()));
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -42,7 +42,7 @@
 /// server doesn't answer.
 pub async fn send_order(inst: &Rc<Instance>, group: &Group, up: &Upstream, order: &Order) -> Option<Status> {
     inst.update_placement(up);
-    if !up.is_reachable() {
+    if !up.is_directly_reachable() {
         up.try_reconnect(inst, group);
         return send_relayed(inst, group, up, order).await;
     }
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -226,7 +226,7 @@
     ) -> Result<Channel, DispatchError> {
         let deadline = deadline.min(self.deadline).min(self.queue_deadline());
         self.inst.update_placement(up);
-        if !up.is_reachable() {
+        if !up.is_directly_reachable() {
             return self.relay(up, deadline).await;
         }
         // Transactions may occupy this instance's connections for long, while other instances have free ones.
--- a/crates/engine/src/upstream.rs
+++ b/crates/engine/src/upstream.rs
@@ -404,8 +404,8 @@
         }
     }
 
-    /// Returns true if this instance is a home of the server and reaches it.
-    pub fn is_reachable(&self) -> bool {
+    /// Returns true if this instance is a home of the server and reaches it itself.
+    pub fn is_directly_reachable(&self) -> bool {
         self.home.get() && self.reachable.get()
     }
 
--- a/crates/pondtrackd/src/home/exec/keyed.rs
+++ b/crates/pondtrackd/src/home/exec/keyed.rs
@@ -33,11 +33,11 @@
             }
             Err(e) => return Err(e),
         };
-        if let Some(code) = batch.extra.iter().find_map(|a| a.error.as_deref()) {
+        if let Some(code) = batch.extra.iter().find_map(|a| a.sqlstate.as_deref()) {
             let code = code.to_owned();
             return self.on_ledger_error(server, conn, key, &code).await;
         }
-        if batch.answer.error.is_some() || batch.answer.txn != TxnState::Open {
+        if batch.answer.sqlstate.is_some() || batch.answer.txn != TxnState::Open {
             return self.roll_back(conn, batch).await;
         }
         let mut tail = BytesMut::new();
@@ -45,9 +45,9 @@
         let answers = request_ledger::put_commit(key, &tag, &mut tail);
         let commit = self.run_queries(&mut conn, &tail, answers).await?;
         let frames = with_idle_status(batch.answer.frames);
-        let answer = Answer { frames, txn: commit.answer.txn, error: commit.answer.error };
+        let answer = Answer { frames, txn: commit.answer.txn, sqlstate: commit.answer.sqlstate };
         let exchange = Exchange { answer, ..commit };
-        if let Some(code) = &exchange.answer.error {
+        if let Some(code) = &exchange.answer.sqlstate {
             let reason = format!("the commit failed with {code}").into();
             return Err(BatchError::Retryable { reason, server: None });
         }
@@ -143,7 +143,7 @@
                 );
             }
         };
-        match inserted.answer.error.as_deref() {
+        match inserted.answer.sqlstate.as_deref() {
             None => self.acknowledge(server, conn, exchange, Some(key.clone())).await,
             Some(request_ledger::UNIQUE_VIOLATION) => {
                 let reason = "a transaction with this request key was committed before".into();
--- a/crates/pondtrackd/src/home/exec/mod.rs
+++ b/crates/pondtrackd/src/home/exec/mod.rs
@@ -341,8 +341,8 @@
             }
             () = self.cancel.notified() => {
                 let peer = self.home.group.clone();
-                let bind = self.node.settings.bind;
-                let _ = upstream::cancel(bind, addr, key.clone(), CANCEL_TIMEOUT, &peer).await;
+                let local_ip = self.node.settings.bind;
+                let _ = upstream::cancel(local_ip, addr, key.clone(), CANCEL_TIMEOUT, &peer).await;
                 // The server answers with an error, or with the result if the batch ended before the cancel request
                 // arrived.
                 timeout(self.left(), &mut work).await
@@ -353,9 +353,9 @@
             Ok(Err(e)) => Err(broken(e.error.to_string())),
             Err(_) => {
                 let peer = self.home.group.clone();
-                let bind = self.node.settings.bind;
+                let local_ip = self.node.settings.bind;
                 tokio::task::spawn_local(async move {
-                    let _ = upstream::cancel(bind, addr, key, CANCEL_TIMEOUT, &peer).await;
+                    let _ = upstream::cancel(local_ip, addr, key, CANCEL_TIMEOUT, &peer).await;
                 });
                 Err(broken(format!("no answer within {} ms", left.as_millis())))
             }
--- a/crates/pondtrackd/src/home/exec/transaction.rs
+++ b/crates/pondtrackd/src/home/exec/transaction.rs
@@ -53,7 +53,7 @@
             let reason = "the server rolled the transaction back".into();
             return (Err(BatchError::Retryable { reason, server: None }), None);
         }
-        let failed = exchange.answer.error.is_some() || rolled_back;
+        let failed = exchange.answer.sqlstate.is_some() || rolled_back;
         if !is_commit || failed {
             return self.continue_txn(server, conn, exchange, key).await;
         }
@@ -68,7 +68,7 @@
         exchange: Exchange,
         key: Option<Name>,
     ) -> (Result<BatchResult, BatchError>, Option<Box<PinnedTxn>>) {
-        let failed = exchange.answer.error.is_some();
+        let failed = exchange.answer.sqlstate.is_some();
         let superseded =
             || Err(BatchError::Retryable { reason: "the primary was superseded".into(), server: None });
         let position = match confirmed_position(&exchange) {
--- a/crates/pondtrackd/src/home/exec/write.rs
+++ b/crates/pondtrackd/src/home/exec/write.rs
@@ -77,7 +77,7 @@
         exchange: Exchange,
         key: Option<Name>,
     ) -> (Result<BatchResult, BatchError>, Option<Box<PinnedTxn>>) {
-        let failed = exchange.answer.error.is_some();
+        let failed = exchange.answer.sqlstate.is_some();
         let txn = exchange.answer.txn;
         if let (Some(before), Some(_)) = (exchange.before, exchange.after)
             && before.role != Role::Primary
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -85,7 +85,7 @@
         if term != last_term {
             // Terms that were reserved in advance may be below it, and are then useless.
             last_term = term;
-            platform_sync::replenish(&node, &home, RefillUrgency::Background);
+            platform_sync::replenish_terms(&node, &home, RefillUrgency::Background);
         }
         if now < cooldown_until
             || home.in_failover.get()
@@ -97,7 +97,7 @@
         if home.term_pool.borrow().remaining() == 0 {
             // A failover begins with a reserved term. Its time limit would end the calls that reserve one, and would do
             // so forever if these calls are slower than the limit.
-            platform_sync::replenish(&node, &home, RefillUrgency::Immediate);
+            platform_sync::replenish_terms(&node, &home, RefillUrgency::Immediate);
             if !std::mem::replace(&mut lacks_term, true) {
                 node.record_decision(
                     &home.group,
--- a/crates/pondtrackd/src/platform_sync.rs
+++ b/crates/pondtrackd/src/platform_sync.rs
@@ -190,12 +190,12 @@
 /// Replenishes the reserve of terms of each home on this instance.
 pub fn replenish_all(node: &Rc<Node>) {
     for home in node.homes.borrow().iter() {
-        replenish(node, home, RefillUrgency::Background);
+        replenish_terms(node, home, RefillUrgency::Background);
     }
 }
 
 /// Drops the terms of a home that are not above the current term, and allocates more in the background if few remain.
-pub fn replenish(node: &Rc<Node>, home: &Rc<Home>, urgency: RefillUrgency) {
+pub fn replenish_terms(node: &Rc<Node>, home: &Rc<Home>, urgency: RefillUrgency) {
     let mut grants = home.term_pool.borrow_mut();
     grants.discard_through(home.term());
     let (low, empty) = (grants.is_low(), grants.remaining() == 0);
@@ -229,10 +229,10 @@
 /// While the platform is unavailable, failovers remain possible even if the only home whose block lies above the
 /// current term is lost.
 async fn reserve_from_peer(node: &Rc<Node>, home: &Home) -> bool {
-    let known = home.term();
+    let current_term = home.term();
     let homes = node.placement(&home.spec.borrow()).homes.clone();
     for peer in homes.into_iter().filter(|h| *h != node.name) {
-        let make = |id| PeerMsg::ReserveTerms { id, group: home.group.clone(), known };
+        let make = |id| PeerMsg::ReserveTerms { id, group: home.group.clone(), known: current_term };
         let reply = node.peers.request(node, &peer, make, RESERVE_TIMEOUT).await;
         if let Some(PeerMsg::ReserveTermsReply { block: Some((first, end)), .. }) = reply {
             home.term_pool.borrow_mut().add(first, end);
