--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -67,7 +67,7 @@
     store: Store,
     delayed: Vec<DelayedWrite>,
     members: Vec<Member>,
-    /// Orders as effect time, token and holder.
+    /// Orders: (time of effect, fencing token, index of the holder).
     orders: Vec<(u64, u64, usize)>,
     /// Time at which the store became available after the last restore; none once there is a holder again.
     restored_at: Option<u64>,
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -138,7 +138,8 @@
         assert_eq!(rest, without(&old, name), "a leave moves only its own keys");
         left += usize::from(rest[0] != old[0]);
     }
-    // The instance ranks first only for keys of its own zone.
+    // With the lower weight, the instance keeps some of the keys for which it ranked first, so a leave moves more keys
+    // (`left`) than the change (`lost`). It ranks first only for keys of its own zone, which all keys here have.
     assert!(lost > 0 && left > lost, "{lost} {left}");
 }
 
--- a/crates/core/tests/quota_walk.rs
+++ b/crates/core/tests/quota_walk.rs
@@ -45,7 +45,8 @@
     None,
     /// A limiter counts the duration of a loan from the receipt of the offer.
     CountsFromReceipt,
-    /// A new process lends shares immediately that its previous process may have lent.
+    /// After a restart, a process lends shares immediately, although the process before the restart may already have
+    /// lent them.
     SkipsStartupWait,
     /// A lender considers a share returned if the limiter doesn't reply in time.
     ExpiresOnTimeout,
--- a/crates/engine/src/count.rs
+++ b/crates/engine/src/count.rs
@@ -116,7 +116,7 @@
 }
 
 impl Counters {
-    /// Increments a counter by one.
+    /// Increments a counter by one; see [`Counters::add`].
     pub fn increment(&self, counter: Count) {
         self.add(counter, 1);
     }
--- a/crates/engine/src/failover/attempt.rs
+++ b/crates/engine/src/failover/attempt.rs
@@ -196,9 +196,9 @@
         paused.max_by_key(|p| p.1)
     }
 
-    /// Makes the old primary step down because a replica can't be paused, and returns the old primary and its log
-    /// position. Entries that the old primary holds and the candidate lacks may have been acknowledged by that replica;
-    /// in this case the old primary keeps leading, or becomes the candidate.
+    /// Makes the old primary step down if a replica can't be paused, and returns the old primary and its log position.
+    /// The replica that isn't paused may have acknowledged entries that the candidate lacks. If the old primary has such
+    /// entries, it stays the primary or becomes the candidate.
     async fn step_down(
         &self,
         old: Option<&Rc<Upstream>>,
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -14,8 +14,8 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Timeout for one chunk, including the wait for an upload slot. The whole update has no timeout: it may take as
-/// long as chunks arrive.
+/// Timeout for one chunk, including the wait for an upload slot. The whole update has no timeout: the
+/// download continues while chunks keep arriving.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(800);
 /// Minimum backoff and its jitter before the first instance is asked again, in milliseconds. The instance to which
 /// it redirected is unknown here, is gone, or is still receiving the last chunk; an immediate retry would be
--- a/crates/engine/src/group/status_reports.rs
+++ b/crates/engine/src/group/status_reports.rs
@@ -96,7 +96,7 @@
     servers.iter().filter_map(report).collect()
 }
 
-/// Fetches a server's status, requested from the server at `since` or later, from other instances.
+/// Asks other instances for a server's status. Only a status requested from the server at `since` or later is accepted.
 ///
 /// Returns false if this instance has to request the status from the server itself.
 pub async fn fetch(inst: &Rc<Instance>, group: &Rc<Group>, up: &Rc<Upstream>, since: Micros) -> bool {
@@ -203,7 +203,7 @@
     let in_flight = Rc::new(Cell::new(0));
     let mut asked: Vec<Name> = Vec::new();
     for n in 0..=MAX_RELAYS {
-        // The instance that orders failovers requests the status from the servers itself.
+        // The instance that holds the failover lease doesn't ask other instances; it queries the servers directly.
         if inst.fencing_token().is_some() {
             break;
         }
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -25,7 +25,7 @@
 const BACKOFF: Duration = Duration::from_millis(1_000);
 /// Maximum number of doublings of the backoff. An instance stays listed for a while after it has ended.
 const MAX_DOUBLINGS: u32 = 4;
-/// Time for which an instance's report that it can't watch the store holds.
+/// Validity period of an instance's report that it can't watch the store.
 const CANNOT_WATCH_TTL: Duration = Duration::from_millis(2_400);
 
 /// Another instance.
--- a/crates/engine/src/watcher.rs
+++ b/crates/engine/src/watcher.rs
@@ -153,8 +153,8 @@
             for id in group.remove_expired(limit) {
                 log::info!(group = group.name.as_str(), server = id.as_str(); "server gone");
             }
-            // Before a failover of this group, an instance that may lead it has to know if a replica that came
-            // back has caught up.
+            // Before a failover of this group, an instance that may run the failover has to know if a replica that
+            // came back has caught up.
             if group.unrecovered_replica().is_some() && is_candidate(&inst) {
                 group.request_statuses(inst.now().saturating_sub(micros(SWEEP_INTERVAL)));
             }
--- a/crates/pondtrackd/src/home/failover.rs
+++ b/crates/pondtrackd/src/home/failover.rs
@@ -41,8 +41,8 @@
 /// Maximum number of these checks. After ten seconds a server that can't be reached is considered lost; once the server
 /// is reachable again, it is ordered to follow once more.
 const MAX_REJOIN_CHECKS: usize = 20;
-/// Time for which a server may have a higher term than the primary before the primary is promoted again in a new term,
-/// in milliseconds; multiplied by the rank of the home plus one.
+/// Time for which a server may have a higher term than the primary, in milliseconds; multiplied by the rank of the home
+/// plus one. After this time, the primary is promoted again in a new term.
 const STRANDED_DELAY_MS: u64 = 600;
 
 /// Result of an order that was sent to a server during a failover.
--- a/crates/proto/src/status.rs
+++ b/crates/proto/src/status.rs
@@ -26,7 +26,7 @@
 /// A server as observed by a home instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Name of the server.
+    /// Name of the server in the configuration of its group.
     pub name: Name,
     /// Availability zone of the server.
     pub zone: Name,
