--- a/crates/core/src/intervals.rs
+++ b/crates/core/src/intervals.rs
@@ -16,10 +16,10 @@
 const EXPIRY_TENTHS: u32 = 24;
 /// Timeout of a watch, in percent of the time within which a change must be in force. A connection that is cut without
 /// notice is detected by then, and the change still has time to spread.
-const WATCH_PERCENT: u32 = 50;
+const WATCH_TIMEOUT_PERCENT: u32 = 50;
 /// Timeout of a watch, in percent of the time within which a revoked key must be rejected, if keys aren't accepted without
 /// a confirmation by the store. Another instance must be able to take over the watch within that time.
-const REVOKE_PERCENT: u32 = 30;
+const REVOKE_WATCH_TIMEOUT_PERCENT: u32 = 30;
 
 /// Returns the interval between two heartbeats of an instance in a fleet of this size.
 pub fn heartbeat_interval(instances: usize) -> Duration {
@@ -37,9 +37,9 @@
 /// Returns the timeout of one watch. `apply` is the time within which a change must be in force. `revoke` is the time
 /// within which a revoked key must be rejected, if keys aren't accepted without a confirmation by the store.
 pub fn watch_timeout(apply: Duration, revoke: Option<Duration>) -> Duration {
-    let max = apply * WATCH_PERCENT / 100;
+    let max = apply * WATCH_TIMEOUT_PERCENT / 100;
     match revoke {
-        Some(revoke) => max.min(revoke * REVOKE_PERCENT / 100),
+        Some(revoke) => max.min(revoke * REVOKE_WATCH_TIMEOUT_PERCENT / 100),
         None => max,
     }
 }
--- a/crates/core/tests/quota_walk.rs
+++ b/crates/core/tests/quota_walk.rs
@@ -268,16 +268,16 @@
         let mut key = format!("{} {}", (self.now - BEGIN) / TICK, self.restarts);
         for (at, instance) in self.instances.iter().enumerate() {
             let used: Vec<f64> = (0..4).map(|n| self.used(at, n * TICK)).collect();
-            let lends = |to: usize, later: u64| {
+            let can_lend = |to: usize, later: u64| {
                 instance.lender.clone().lend(slot(ORGANISATION), &name(to), false, self.now + later * TICK)
             };
-            let lends: Vec<bool> = (0..2)
+            let lend_results: Vec<bool> = (0..2)
                 .flat_map(|to| (0..4).map(move |n| (to, n)))
-                .map(|pair| lends(pair.0, pair.1))
+                .map(|pair| can_lend(pair.0, pair.1))
                 .collect();
             let pending = instance.pending.map(|seq| seq.map(rank));
             key += &format!(
-                " {} {used:?} {lends:?} {pending:?} {:?}",
+                " {} {used:?} {lend_results:?} {pending:?} {:?}",
                 instance.process,
                 instance.timestamps.map(age)
             );
--- a/crates/engine/src/quota/lending.rs
+++ b/crates/engine/src/quota/lending.rs
@@ -24,7 +24,7 @@
 const ISOLATION_PERIODS: u64 = 3;
 /// The time after its start from which an instance that joins others lends a share of its own. Until the others know
 /// it, they divide the limits among fewer instances. Instances discover each other within 7 s.
-const JOIN_DELAY: Duration = Duration::from_millis(8_000);
+const LENDING_DELAY: Duration = Duration::from_millis(8_000);
 /// The time after its start from which a process without a response from another instance may act as the only one,
 /// unless the whole fleet starts for the first time. The store may have been restored from a copy without the other
 /// instances' entries, which are rewritten within this time.
@@ -88,7 +88,7 @@
 
     /// This instance's share of each limit, from 0 to 1.
     fn share(&self, inst: &Instance, now: Micros) -> f64 {
-        let has_joined = !self.is_joining.get() || now >= micros(JOIN_DELAY);
+        let has_joined = !self.is_joining.get() || now >= micros(LENDING_DELAY);
         let maybe_sole = self.last_response_at.get() == 0 && now < micros(SOLE_INSTANCE_DELAY);
         if !has_joined || maybe_sole && !inst.settings.first_start {
             return 0.0;
--- a/crates/pondtrackd/src/entry/session.rs
+++ b/crates/pondtrackd/src/entry/session.rs
@@ -464,7 +464,7 @@
     /// Answers a request that has no response of the upstream.
     fn fail(&mut self, class: Class, outcome: &Outcome) -> BytesMut {
         let in_txn = self.txn() != TxnState::Idle;
-        let ends = matches!(class, Class::Commit | Class::Rollback);
+        let ends_txn = matches!(class, Class::Commit | Class::Rollback);
         let error = match outcome {
             Outcome::NotRun { reason, retry_ms } => {
                 self.node.count(Count::NotRun);
@@ -483,7 +483,7 @@
             }
             Outcome::Done => SqlError::error("XX000", "an answer without messages"),
         };
-        if in_txn && ends {
+        if in_txn && ends_txn {
             // The transaction has ended, whatever its outcome.
             self.restore_settings();
             self.apply(SessionEvent::Settled);
--- a/crates/pondtrackd/src/platform_sync.rs
+++ b/crates/pondtrackd/src/platform_sync.rs
@@ -302,7 +302,7 @@
         return Ok(());
     }
     let next = Term(record.next.0.max(term.0 + 1));
-    let change = node.random();
-    let record = TermRecord { term, primary: primary.clone(), next, change };
+    let change_id = node.random();
+    let record = TermRecord { term, primary: primary.clone(), next, change: change_id };
     node.platform.put(ObjectKind::Term.into(), group, version, &record).await.map(drop)
 }
