--- a/crates/core/tests/quota_walk.rs
+++ b/crates/core/tests/quota_walk.rs
@@ -45,7 +45,8 @@
     None,
     /// A limiter counts the duration of a loan from the receipt of the offer.
     CountsFromReceipt,
-    /// A new process lends shares immediately that its previous process may have lent.
+    /// After a restart, a process lends shares immediately, although the process before the restart may already have
+    /// lent them.
     SkipsStartupWait,
     /// A lender considers a share returned if the limiter doesn't reply in time.
     ExpiresOnTimeout,
@@ -267,16 +268,16 @@
         let mut key = format!("{} {}", (self.now - BEGIN) / TICK, self.restarts);
         for (at, instance) in self.instances.iter().enumerate() {
             let used: Vec<f64> = (0..4).map(|n| self.used(at, n * TICK)).collect();
-            let lends = |to: usize, later: u64| {
+            let can_lend = |to: usize, later: u64| {
                 instance.lender.clone().lend(slot(ORGANISATION), &name(to), false, self.now + later * TICK)
             };
-            let lends: Vec<bool> = (0..2)
+            let lend_results: Vec<bool> = (0..2)
                 .flat_map(|to| (0..4).map(move |n| (to, n)))
-                .map(|pair| lends(pair.0, pair.1))
+                .map(|pair| can_lend(pair.0, pair.1))
                 .collect();
             let pending = instance.pending.map(|seq| seq.map(rank));
             key += &format!(
-                " {} {used:?} {lends:?} {pending:?} {:?}",
+                " {} {used:?} {lend_results:?} {pending:?} {:?}",
                 instance.process,
                 instance.timestamps.map(age)
             );
