--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Sends an order through another instance. Tries up to [`RELAYS`] instances in turn.
+/// Sends an order through another instance. Tries up to [`MAX_RELAYS`] instances in turn.
 async fn send_relayed(inst: &Rc<Instance>, group: &Group, up: &Upstream, order: &Order) -> Option<Status> {
     let started = inst.now();
     for _ in 0..MAX_RELAYS {
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -203,7 +203,7 @@
         self.sender.send(Message::Response { id, response }).is_ok()
     }
 
-    /// Grants a permit to the other instance, and revokes it after [`TURN_MOST`] if it isn't released.
+    /// Grants a permit to the other instance, and revokes it after [`MAX_PERMIT_TIME`] if it isn't released.
     async fn grant_permit(&self, id: u64, request: PermitRequest, progress: &Progress) {
         let inst = &self.inst;
         let Some((_, up)) = find(inst, &request.server) else {
--- a/crates/pondtrackd/src/platform_sync.rs
+++ b/crates/pondtrackd/src/platform_sync.rs
@@ -1,4 +1,4 @@
-//! Synchronisation with the platform: watches on facts, allocation of terms, and records of elections.
+//! Synchronisation with the platform: watches on facts, allocation of terms, and records of promotions.
 //!
 //! Nothing here is on the request path. While the platform is unavailable, the instance continues with the
 //! facts it has cached; failed calls are retried with backoff and jitter to prevent a thundering herd when the
